--- a/src/caller/callerconnection.cpp
+++ b/src/caller/callerconnection.cpp
@@ -46,13 +46,13 @@
     beast::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     ++m_server.m_connectionCount;
-    m_server.m_options.counters->shift(Gauge::OpenConnections, 1);
+    m_server.m_options.counters->adjust(Gauge::OpenConnections, 1);
 }
 
 CallerConnection::~CallerConnection()
 {
     --m_server.m_connectionCount;
-    m_server.m_options.counters->shift(Gauge::OpenConnections, -1);
+    m_server.m_options.counters->adjust(Gauge::OpenConnections, -1);
     if (!m_countedFor.empty() && --m_server.m_accountConnections[m_countedFor] <= 0)
         m_server.m_accountConnections.erase(m_countedFor);
 }
@@ -211,18 +211,18 @@
     exchange.ask.id = id;
     exchange.head = exchange.ask.call.method == "HEAD";
     if (!m_server.takePlace(exchange.tier)) {
-        const AnswerEnd end{ErrorKind::OpenRequests, Outcome::NotRun, "", 0};
+        const AnswerResult end{ErrorKind::OpenRequests, Outcome::NotRun, "", 0};
         m_server.m_options.counters->refused(end.kind);
         co_return co_await writeError(id, end, exchange.keepAlive);
     }
-    const auto slot = std::make_shared<ReplySlot>(id);
+    const auto slot = std::make_shared<AnswerChannel>(id);
     slot->onReady = [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->m_signal.cancel();
     };
     bool more = false;
     if (!m_server.m_hooks.submit(exchange.tier, exchange.ask, slot)) {
-        const AnswerEnd end{ErrorKind::OpenRequests, Outcome::NotRun, "ring full", 0};
+        const AnswerResult end{ErrorKind::OpenRequests, Outcome::NotRun, "ring full", 0};
         m_server.m_options.counters->refused(end.kind);
         more = co_await writeError(id, end, exchange.keepAlive);
     } else {
@@ -233,7 +233,7 @@
             more = co_await streamAnswer(exchange, slot);
         else
             more = co_await wholeAnswer(exchange, slot);
-        if (m_gone && slot->gone())
+        if (m_gone && slot->setDisconnected())
             m_server.m_hooks.look(slot);
         beast::error_code ignored;
         m_socket.cancel(ignored); // ends the watch
@@ -264,7 +264,7 @@
                         });
 }
 
-asio::awaitable<std::vector<CallerEvent>> CallerConnection::nextEvents(ReplySlotPtr slot)
+asio::awaitable<std::vector<CallerEvent>> CallerConnection::nextEvents(AnswerChannelPtr slot)
 {
     for (;;) {
         std::vector<CallerEvent> events = slot->take();
@@ -275,13 +275,14 @@
     }
 }
 
-void CallerConnection::tookTokens(const ReplySlotPtr &slot, std::uint64_t tokens)
+void CallerConnection::tookTokens(const AnswerChannelPtr &slot, std::uint64_t tokens)
 {
-    if (tokens > 0 && slot->took(tokens))
+    if (tokens > 0 && slot->addConsumed(tokens))
         m_server.m_hooks.look(slot);
 }
 
-asio::awaitable<bool> CallerConnection::streamAnswer(const Exchange &exchange, ReplySlotPtr slot)
+asio::awaitable<bool> CallerConnection::streamAnswer(const Exchange &exchange,
+                                                     AnswerChannelPtr slot)
 {
     const AnswerWriter writer(*exchange.completion, slot->id(), exchange.model);
     bool begun = false;
@@ -291,13 +292,13 @@
             co_return false;
         std::string out;
         std::uint64_t tokens = 0;
-        const AnswerEnd *end = nullptr;
+        const AnswerResult *end = nullptr;
         for (const CallerEvent &event : events) {
             if (const auto *text = std::get_if<AnswerText>(&event)) {
                 out += chunked(writer.piece(text->text));
                 tokens += text->tokens;
             } else {
-                end = std::get_if<AnswerEnd>(&event);
+                end = std::get_if<AnswerResult>(&event);
             }
         }
         const bool whole = end && end->kind == ErrorKind::None;
@@ -325,11 +326,11 @@
     }
 }
 
-asio::awaitable<bool> CallerConnection::wholeAnswer(const Exchange &exchange, ReplySlotPtr slot)
+asio::awaitable<bool> CallerConnection::wholeAnswer(const Exchange &exchange, AnswerChannelPtr slot)
 {
     std::string text;
-    std::optional<AnswerWhole> whole;
-    std::optional<AnswerEnd> end;
+    std::optional<ServiceResponse> whole;
+    std::optional<AnswerResult> end;
     while (!end) {
         const std::vector<CallerEvent> events = co_await nextEvents(slot);
         if (m_gone)
@@ -339,10 +340,10 @@
             if (const auto *piece = std::get_if<AnswerText>(&event)) {
                 text += piece->text;
                 tokens += piece->tokens;
-            } else if (const auto *answer = std::get_if<AnswerWhole>(&event)) {
+            } else if (const auto *answer = std::get_if<ServiceResponse>(&event)) {
                 whole = *answer;
             } else {
-                end = std::get<AnswerEnd>(event);
+                end = std::get<AnswerResult>(event);
             }
         }
         tookTokens(slot, tokens);
@@ -389,7 +390,7 @@
     co_return written &&keep;
 }
 
-asio::awaitable<bool> CallerConnection::writeError(const RequestId &id, const AnswerEnd &end,
+asio::awaitable<bool> CallerConnection::writeError(const RequestId &id, const AnswerResult &end,
                                                    bool keepAlive)
 {
     const ErrorRow &row = errorRow(end.kind);
@@ -411,7 +412,7 @@
 asio::awaitable<bool> CallerConnection::refuse(Refusal refusal, bool keepAlive)
 {
     m_server.m_options.counters->refused(refusal.kind);
-    const AnswerEnd end{refusal.kind, Outcome::NotRun, std::move(refusal.reason), 0};
+    const AnswerResult end{refusal.kind, Outcome::NotRun, std::move(refusal.reason), 0};
     co_return co_await writeError(m_server.nextId(), end, keepAlive);
 }
 
--- a/src/caller/callerconnection.h
+++ b/src/caller/callerconnection.h
@@ -16,8 +16,8 @@
 #include <boost/beast/http/message.hpp>
 #include <boost/beast/http/string_body.hpp>
 
+#include <reachlead/answerchannel.h>
 #include <reachlead/clock.h>
-#include <reachlead/replyslot.h>
 
 #include "caller/openai.h"
 
@@ -66,13 +66,13 @@
     Awaitable<bool> serve(Request request);
     Awaitable<bool> servePage(const Request &request, bool *served);
     Awaitable<bool> exchange(Exchange exchange);
-    Awaitable<bool> streamAnswer(const Exchange &exchange, ReplySlotPtr slot);
-    Awaitable<bool> wholeAnswer(const Exchange &exchange, ReplySlotPtr slot);
-    Awaitable<std::vector<CallerEvent>> nextEvents(ReplySlotPtr slot);
+    Awaitable<bool> streamAnswer(const Exchange &exchange, AnswerChannelPtr slot);
+    Awaitable<bool> wholeAnswer(const Exchange &exchange, AnswerChannelPtr slot);
+    Awaitable<std::vector<CallerEvent>> nextEvents(AnswerChannelPtr slot);
     Awaitable<bool> write(std::string bytes);
     Awaitable<bool> writeWhole(unsigned status, std::vector<Header> headers, std::string body,
                                bool keepAlive, bool head = false);
-    Awaitable<bool> writeError(const RequestId &id, const AnswerEnd &end, bool keepAlive);
+    Awaitable<bool> writeError(const RequestId &id, const AnswerResult &end, bool keepAlive);
     Awaitable<bool> refuse(Refusal refusal, bool keepAlive);
 
     Refusal admit(const Request &request, Exchange *exchange);
@@ -82,7 +82,7 @@
     Refusal readClass(const Request &request, Exchange *exchange, const Policies &policies,
                       const AccountPolicy &account);
     bool countConnection(const AccountPolicy &account);
-    void tookTokens(const ReplySlotPtr &slot, std::uint64_t tokens);
+    void tookTokens(const AnswerChannelPtr &slot, std::uint64_t tokens);
     void watchForGone();
     void setLimit(Duration limit);
     void clearLimit();
--- a/src/caller/callerconnection_admit.cpp
+++ b/src/caller/callerconnection_admit.cpp
@@ -66,7 +66,7 @@
     if (!key.starts_with(scheme))
         return {ErrorKind::KeyMissing, "expected Authorization: Bearer ACCOUNT:SECRET"};
     key.remove_prefix(scheme.size());
-    *account = accountOfKey(policies, key);
+    *account = findAccountByKey(policies, key);
     if (!*account)
         return {ErrorKind::KeyUnknown, ""};
     if (!countConnection(**account))
@@ -115,7 +115,7 @@
         const std::string_view name = rest.substr(0, slash);
         if (name.empty())
             return {ErrorKind::PathUnknown, std::string(path)};
-        ask.model = false;
+        ask.isModel = false;
         ask.target = serviceTarget(name);
         ask.call.path = slash == std::string_view::npos ? "/" : rest.substr(slash);
         if (ask.call.path.front() != '/')
@@ -151,7 +151,7 @@
     const std::string_view said = headerOf(request, repeatableHeader);
     const bool safeMethod =
         request.method() == http::verb::get || request.method() == http::verb::head;
-    const bool byDefault = cls->repeatable && (exchange->ask.model || safeMethod);
+    const bool byDefault = cls->repeatable && (exchange->ask.isModel || safeMethod);
     if (!said.empty() && said != "yes" && said != "no")
         return {ErrorKind::BadRequest, "Reachlead-Repeatable: expected yes or no"};
     exchange->ask.repeatable = said.empty() ? byDefault : said == "yes";
--- a/src/caller/callerserver.cpp
+++ b/src/caller/callerserver.cpp
@@ -69,15 +69,15 @@
     });
 }
 
-void CallerServer::announce(ReplySlotPtr slot)
+void CallerServer::announce(AnswerChannelPtr slot)
 {
     if (!m_ready.push(std::move(slot)))
-        m_options.counters->add(Count::RingFull);
+        m_options.counters->add(Counter::RingFull);
 }
 
 void CallerServer::takeReady()
 {
-    for (const ReplySlotPtr &slot : m_ready.drain()) {
+    for (const AnswerChannelPtr &slot : m_ready.drain()) {
         if (slot->onReady)
             slot->onReady();
     }
--- a/src/caller/callerserver.h
+++ b/src/caller/callerserver.h
@@ -18,9 +18,9 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 
+#include <reachlead/answerchannel.h>
 #include <reachlead/http.h>
-#include <reachlead/replyslot.h>
-#include <reachlead/ring.h>
+#include <reachlead/ringbuffer.h>
 
 namespace reachlead {
 
@@ -30,9 +30,9 @@
 struct CallerHooks
 {
     /// Hands a request over; false when there is no room for its tier.
-    std::function<bool(Tier, CallerRequest, ReplySlotPtr)> submit;
+    std::function<bool(Tier, CallerRequest, AnswerChannelPtr)> submit;
     /// Has the other thread look at what the caller said.
-    std::function<void(const ReplySlotPtr &)> look;
+    std::function<void(const AnswerChannelPtr &)> look;
 };
 
 /// Takes callers' requests. The public functions may be called from any thread.
@@ -60,7 +60,7 @@
     std::uint16_t port() const { return m_port; }
 
     /// Tells this thread that a slot has events. Called by the dispatching thread.
-    void announce(ReplySlotPtr slot);
+    void announce(AnswerChannelPtr slot);
 
     void setPolicies(PoliciesPtr policies);
     void setTargets(std::vector<TargetName> targets);
@@ -104,7 +104,7 @@
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::uint16_t m_port = 0;
-    Ring<ReplySlotPtr> m_ready;
+    RingBuffer<AnswerChannelPtr> m_ready;
     std::thread m_thread;
 };
 
--- a/src/caller/callerstream.h
+++ b/src/caller/callerstream.h
@@ -18,8 +18,8 @@
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 
-#include <reachlead/dialect.h>
 #include <reachlead/error.h>
+#include <reachlead/headercodec.h>
 #include <reachlead/routing.h>
 #include <reachlead/signal.h>
 
--- a/src/forward/crashwatch.cpp
+++ b/src/forward/crashwatch.cpp
@@ -16,7 +16,7 @@
 
 void CrashWatch::lost(const UpstreamEntry &entry, const RequestDigest &request)
 {
-    forgetOld(RuntimeClock::now());
+    dropExpired(RuntimeClock::now());
     if (m_ended.contains(entry.id)) {
         m_onEnded(request, entry.id);
         return;
@@ -40,18 +40,18 @@
         co_return;
     const Time now = RuntimeClock::now();
     m_ended[entry.id] = now;
-    m_state.book().absent(entry.id, now);
-    m_counters.add(Count::UpstreamsEnded);
+    m_state.upstreams().connectionRefused(entry.id, now);
+    m_counters.add(Counter::UpstreamsCrashed);
     LogLine(LogLevel::Warn, "upstream-process-ended")
         .with("upstream", entry.id.text)
-        .with("born", entry.id.born)
+        .with("born", entry.id.startedAt)
         .with("service", entry.service.text)
         .with("calls", requests.size());
     for (const RequestDigest &request : requests)
         m_onEnded(request, entry.id);
 }
 
-void CrashWatch::forgetOld(Time now)
+void CrashWatch::dropExpired(Time now)
 {
     std::erase_if(m_ended, [&](const auto &it) { return it.second + knownFor < now; });
 }
--- a/src/forward/crashwatch.h
+++ b/src/forward/crashwatch.h
@@ -49,7 +49,7 @@
 
 private:
     boost::asio::awaitable<void> look(UpstreamEntry entry);
-    void forgetOld(Time now);
+    void dropExpired(Time now);
 
     boost::asio::io_context &m_io;
     UpstreamPool &m_pool;
--- a/src/forward/forwardcall.cpp
+++ b/src/forward/forwardcall.cpp
@@ -28,11 +28,11 @@
 
 ForwardCall::ForwardCall(ForwardShared &shared, CallerStream &caller, CallerRequest request)
     : m_shared(shared), m_calls(shared.calls), m_caller(caller), m_request(std::move(request)),
-      m_facts(shared.dialect.readCall(m_request)), m_table(shared.state.table()),
+      m_metadata(shared.headerCodec.readCall(m_request)), m_table(shared.state.table()),
       m_arrived(RuntimeClock::now()), m_limit(m_arrived + defaultPatience), m_timer(shared.io)
 {
-    m_shared.counters.add(Count::RequestsAccepted);
-    m_shared.counters.shift(Gauge::OpenRequests, 1);
+    m_shared.counters.add(Counter::RequestsAccepted);
+    m_shared.counters.adjust(Gauge::OpenRequests, 1);
     m_calls->insert(this);
 }
 
@@ -40,7 +40,7 @@
 {
     m_calls->erase(this);
     m_caller.forgetGone();
-    m_shared.counters.shift(Gauge::OpenRequests, -1);
+    m_shared.counters.adjust(Gauge::OpenRequests, -1);
 }
 
 asio::awaitable<bool> ForwardCall::run()
@@ -68,7 +68,7 @@
     if (m_route == nullptr)
         return Error{ErrorKind::PathUnknown, "no route takes this host and path"};
     if (!m_route->anonymous && !m_table->config().accounts.empty()) {
-        m_account = m_table->accountOf(m_facts.key);
+        m_account = m_table->accountForKey(m_metadata.apiKey);
         if (m_account == nullptr)
             return Error{ErrorKind::KeyUnknown, "no account holds the key"};
     }
@@ -85,7 +85,7 @@
 
 void ForwardCall::setLimit()
 {
-    Duration patience = m_facts.patience.value_or(defaultPatience);
+    Duration patience = m_metadata.timeout.value_or(defaultPatience);
     if (m_route->timeoutMs > 0)
         patience = std::min<Duration>(patience, milliseconds(m_route->timeoutMs));
     m_limit = m_arrived + patience;
@@ -107,9 +107,9 @@
         if (!alive.expired())
             stop(why);
     };
-    m_caller.onGone([stopIfAlive] { stopIfAlive(Stop::CallerGone); });
+    m_caller.onGone([stopIfAlive] { stopIfAlive(Stop::CallerDisconnected); });
     if (m_caller.isGone())
-        stop(Stop::CallerGone);
+        stop(Stop::CallerDisconnected);
     m_timer.expires_at(m_limit);
     m_timer.async_wait([stopIfAlive](const boost::system::error_code &ec) {
         if (!ec)
@@ -133,21 +133,21 @@
 const RequestDigest &ForwardCall::digest()
 {
     if (!m_digest)
-        m_digest = digestOf(content());
+        m_digest = computeDigest(content());
     return *m_digest;
 }
 
 /// Whether upstreams may have ended under this request, here or at gateways that told of it.
 bool ForwardCall::mayBeSuspect() const
 {
-    const CrashBook &crashes = m_shared.state.crashes();
-    return !crashes.isEmpty() && crashes.mayKnow(markOf(content()));
+    const CrashTracker &crashes = m_shared.state.crashes();
+    return !crashes.isEmpty() && crashes.mayContain(computeFastHash(content()));
 }
 
 ErrorKind ForwardCall::kindOfStop() const
 {
-    if (m_stop == Stop::CallerGone)
-        return ErrorKind::CallerGone;
+    if (m_stop == Stop::CallerDisconnected)
+        return ErrorKind::CallerDisconnected;
     if (m_stop == Stop::ProcessEnds)
         return m_sends > 0 ? ErrorKind::OutcomeUnknown : ErrorKind::RouterStopping;
     return m_sends > 0 ? ErrorKind::DeadlineRunning : ErrorKind::DeadlineQueued;
@@ -158,13 +158,13 @@
     switch (decision.step) {
     case ForwardStep::Deliver:
         co_return co_await deliverWhole();
-    case ForwardStep::Cut:
+    case ForwardStep::Abort:
         report("cut", decision.kind, m_exchange ? m_exchange->status() : 0);
         m_caller.abort();
         co_return false;
     case ForwardStep::Refuse:
     case ForwardStep::Fail:
-    case ForwardStep::SendAgain:
+    case ForwardStep::Retry:
         break;
     }
     const Error error{decision.kind, m_lastReason};
@@ -192,8 +192,8 @@
             answer.prepare_payload();
         sent = co_await m_caller.send(std::move(answer));
     }
-    m_shared.counters.add(Count::RequestsCompleted);
-    m_shared.latencies.note(Timed::Whole, RuntimeClock::now() - m_arrived);
+    m_shared.counters.add(Counter::RequestsCompleted);
+    m_shared.latencies.recordLatency(LatencyKind::Whole, RuntimeClock::now() - m_arrived);
     report(sent ? "delivered" : "caller-lost", ErrorKind::None, m_exchange->status());
     co_return sent &&keepAlive;
 }
@@ -210,8 +210,8 @@
     const bool keepAlive =
         m_request.version() >= 11 && m_request.keep_alive() && !m_shared.stopping;
     std::optional<Duration> patience;
-    if (m_facts.patience)
-        patience = *m_facts.patience - (RuntimeClock::now() - m_arrived);
+    if (m_metadata.timeout)
+        patience = *m_metadata.timeout - (RuntimeClock::now() - m_arrived);
     const auto comeBack = m_comeBack ? m_comeBack : comeBackAfter(error.kind, patience);
     WholeAnswer answer = makeRefusal(error, comeBack, keepAlive);
     report("refused", error.kind, answer.result_int());
@@ -230,7 +230,7 @@
 {
     const Time now = RuntimeClock::now();
     LogLine(LogLevel::Info, "request-ended")
-        .with("attempt", m_facts.attemptId)
+        .with("attempt", m_metadata.attemptId)
         .with("outcome", outcome)
         .with("kind", errorRow(kind).name)
         .with("status", status)
@@ -245,13 +245,13 @@
         .with("placing_ms", static_cast<std::int64_t>(toMillis(m_placing)))
         .with("fetch_from", m_fetchFrom ? m_fetchFrom->text() : "-")
         .with("sends", m_sends)
-        .with("misses", m_misses)
-        .with("absences", m_absences)
-        .with("prompt", m_facts.promptTokens)
+        .with("misses", m_connectFailures)
+        .with("absences", m_connectRefusals)
+        .with("prompt", m_metadata.promptTokens)
         .with("to_read", m_toRead)
         .with("ahead", m_ahead)
         .with("come_back_ms", m_comeBack ? static_cast<std::int64_t>(toMillis(*m_comeBack)) : -1)
-        .with("events", m_events.events())
+        .with("events", m_events.eventCount())
         .with("longest_pause_ms", static_cast<std::int64_t>(toMillis(m_longestPause)))
         .with("unread_then", m_unreadAtPause)
         .with("missed", missedBound())
--- a/src/forward/forwardcall.h
+++ b/src/forward/forwardcall.h
@@ -40,7 +40,7 @@
 
 private:
     /// Why a send was broken off from this side.
-    enum class Stop : std::uint8_t { None, CallerGone, Expired, ProcessEnds };
+    enum class Stop : std::uint8_t { None, CallerDisconnected, Expired, ProcessEnds };
 
     // Before the first send.
     std::optional<Error> resolve();
@@ -50,21 +50,21 @@
 
     // Sends.
     std::optional<ForwardDecision> quarantined();
-    ChoiceAsk makeAsk() const;
-    boost::asio::awaitable<PlacedChoice> choose();
+    SelectionQuery makeAsk() const;
+    boost::asio::awaitable<PlacementResult> choose();
     boost::asio::awaitable<std::optional<ForwardDecision>> sendOnce();
     boost::asio::awaitable<UpstreamChannelPtr> openChannel(const UpstreamEntry &entry);
-    boost::asio::awaitable<SendEnd> exchange(const UpstreamEntry &entry);
-    boost::asio::awaitable<SendEnd> takeAnswer();
-    boost::asio::awaitable<SendEnd> takeWhole();
-    boost::asio::awaitable<SendEnd> takeEvents();
-    boost::asio::awaitable<SendEnd> takeLong(std::string first);
+    boost::asio::awaitable<SendResult> exchange(const UpstreamEntry &entry);
+    boost::asio::awaitable<SendResult> takeAnswer();
+    boost::asio::awaitable<SendResult> takeWhole();
+    boost::asio::awaitable<SendResult> takeEvents();
+    boost::asio::awaitable<SendResult> takeLong(std::string first);
     boost::asio::awaitable<bool> deliverEvents(const std::string &events);
     UpstreamCall makeCall(const UpstreamEntry &entry) const;
-    SendEnd brokenEnd() const;
-    SendEnd judgeHead() const;
-    ForwardState stateNow(SendEnd end);
-    void noteEnd(const UpstreamEntry &entry, SendEnd end);
+    SendResult brokenEnd() const;
+    SendResult judgeHead() const;
+    ForwardState stateNow(SendResult end);
+    void noteEnd(const UpstreamEntry &entry, SendResult end);
     void noteLost(const UpstreamEntry &entry);
     void noteStatement();
     void noteFirst();
@@ -91,7 +91,7 @@
     std::shared_ptr<std::set<ForwardCall *>> m_calls; ///< with this one
     CallerStream &m_caller;
     CallerRequest m_request;
-    CallFacts m_facts;
+    CallMetadata m_metadata;
     std::optional<RequestDigest> m_digest; ///< once it was asked for: bodies may be long
     RouteTablePtr m_table; ///< in force when the request arrived
     const Route *m_route = nullptr;
@@ -106,8 +106,8 @@
 
     std::set<UpstreamId> m_tried;
     unsigned m_sends = 0; ///< that may have reached an upstream
-    unsigned m_misses = 0; ///< that never left, as in ForwardState
-    unsigned m_absences = 0; ///< as in ForwardState
+    unsigned m_connectFailures = 0; ///< that never left, as in ForwardState
+    unsigned m_connectRefusals = 0; ///< as in ForwardState
     bool m_mayHaveRun = false;
     UpstreamId m_lastUpstream;
     std::string m_lastReason;
--- a/src/forward/forwardcall_answer.cpp
+++ b/src/forward/forwardcall_answer.cpp
@@ -32,59 +32,59 @@
 
 } // namespace
 
-SendEnd ForwardCall::brokenEnd() const
+SendResult ForwardCall::brokenEnd() const
 {
-    return m_exchange->isCorrupt() ? SendEnd::Corrupt : SendEnd::Lost;
+    return m_exchange->isCorrupt() ? SendResult::Corrupt : SendResult::Lost;
 }
 
 /// What the head alone says of the send.
-SendEnd ForwardCall::judgeHead() const
+SendResult ForwardCall::judgeHead() const
 {
     const unsigned status = m_exchange->status();
-    const AnswerFacts &facts = m_exchange->facts();
-    if (facts.notRun)
-        return SendEnd::RefusedNotRun;
+    const AnswerMetadata &metadata = m_exchange->metadata();
+    if (metadata.notRun)
+        return SendResult::RefusedNotRun;
     if (promisesNotRun(status))
-        return SendEnd::Corrupt; // a promise that the upstream does not vouch for
+        return SendResult::Corrupt; // a promise that the upstream does not vouch for
     if (status >= 500)
-        return SendEnd::OwnFailure;
+        return SendResult::ServerError;
     const bool isSuccess = status >= 200 && status < 300;
-    return isSuccess && !facts.isSigned ? SendEnd::Corrupt : SendEnd::Complete;
+    return isSuccess && !metadata.isSigned ? SendResult::Corrupt : SendResult::Complete;
 }
 
-asio::awaitable<SendEnd> ForwardCall::takeAnswer()
+asio::awaitable<SendResult> ForwardCall::takeAnswer()
 {
-    const SendEnd judged = judgeHead();
+    const SendResult judged = judgeHead();
     noteStatement();
-    if (judged == SendEnd::Corrupt)
+    if (judged == SendResult::Corrupt)
         m_lastReason = "the answer lacks the upstream's signature or its word for a refusal";
-    if (judged == SendEnd::RefusedNotRun)
+    if (judged == SendResult::RefusedNotRun)
         m_lastReason = fmt::format("the upstream refused with {}", m_exchange->status());
-    if (judged == SendEnd::Complete && isEventStream(m_exchange->head()))
+    if (judged == SendResult::Complete && isEventStream(m_exchange->head()))
         co_return co_await takeEvents();
     if (m_headDelivered)
-        co_return judged == SendEnd::Complete ? SendEnd::Corrupt : judged;
-    const SendEnd end = co_await takeWhole();
-    co_return end == SendEnd::Complete ? judged : end;
+        co_return judged == SendResult::Complete ? SendResult::Corrupt : judged;
+    const SendResult end = co_await takeWhole();
+    co_return end == SendResult::Complete ? judged : end;
 }
 
 /// Takes up what the upstream says of its own state, whatever becomes of the call.
 void ForwardCall::noteStatement()
 {
-    const std::optional<UpstreamStatement> &statement = m_exchange->facts().statement;
-    if (!statement)
+    const std::optional<UpstreamNotice> &notice = m_exchange->metadata().notice;
+    if (!notice)
         return;
-    const auto news = m_shared.state.upstreamSaid(m_lastUpstream, *statement);
-    if (news.ofLimit)
-        m_shared.counters.add(Count::LimitsHeard);
-    if (news.ofLeaving)
-        m_shared.counters.add(Count::LeavingHeard);
-    if (news.ofBackoff)
-        m_shared.counters.add(Count::BackoffsHeard);
+    const auto news = m_shared.state.applyNotice(m_lastUpstream, *notice);
+    if (news.hasNewLimit)
+        m_shared.counters.add(Counter::LimitsReceived);
+    if (news.isNewlyLeaving)
+        m_shared.counters.add(Counter::LeavingReceived);
+    if (news.hasBackoff)
+        m_shared.counters.add(Counter::BackoffsReceived);
 }
 
 /// Holds the answer until it is whole, or passes it on once it is too long for that.
-asio::awaitable<SendEnd> ForwardCall::takeWhole()
+asio::awaitable<SendResult> ForwardCall::takeWhole()
 {
     m_wholeBody.clear();
     while (true) {
@@ -93,7 +93,7 @@
             co_return brokenEnd();
         noteFirst();
         if (piece->empty())
-            co_return SendEnd::Complete;
+            co_return SendResult::Complete;
         m_wholeBody += *piece;
         if (m_wholeBody.size() > mostHeld) {
             std::string first = std::move(m_wholeBody);
@@ -102,7 +102,7 @@
     }
 }
 
-asio::awaitable<SendEnd> ForwardCall::takeLong(std::string first)
+asio::awaitable<SendResult> ForwardCall::takeLong(std::string first)
 {
     std::optional<std::string> piece = std::move(first);
     bool sent = co_await sendHead();
@@ -112,17 +112,17 @@
             piece = co_await m_exchange->readPiece();
     }
     if (!sent)
-        co_return SendEnd::Lost;
+        co_return SendResult::Lost;
     if (!piece)
         co_return brokenEnd();
     m_bodyWhole = true;
-    co_return SendEnd::Complete;
+    co_return SendResult::Complete;
 }
 
 /// Passes on whole events as they come.
-asio::awaitable<SendEnd> ForwardCall::takeEvents()
+asio::awaitable<SendResult> ForwardCall::takeEvents()
 {
-    m_events.dropPart();
+    m_events.dropPartialEvent();
     while (true) {
         const auto piece = co_await m_exchange->readPiece();
         if (!piece)
@@ -132,21 +132,21 @@
         bool tooLong = false;
         const std::string events = m_events.feed(*piece, &tooLong);
         if (tooLong)
-            co_return SendEnd::Corrupt;
+            co_return SendResult::Corrupt;
         if (events.empty())
             continue;
         const bool sent = co_await deliverEvents(events);
         if (!sent)
-            co_return SendEnd::Lost;
+            co_return SendResult::Lost;
     }
-    if (m_events.holdsPart()) {
+    if (m_events.hasPartialEvent()) {
         m_lastReason = "the stream ended inside an event";
-        co_return SendEnd::Lost;
+        co_return SendResult::Lost;
     }
     if (!m_headDelivered)
-        co_return SendEnd::Complete; // a stream without events: delivered as an empty answer
+        co_return SendResult::Complete; // a stream without events: delivered as an empty answer
     m_bodyWhole = true;
-    co_return SendEnd::Complete;
+    co_return SendResult::Complete;
 }
 
 asio::awaitable<bool> ForwardCall::deliverEvents(const std::string &events)
@@ -170,7 +170,7 @@
         return;
     m_longestPause = pause;
     if (pause > milliseconds(m_route->gapTargetMs))
-        m_unreadAtPause = m_shared.state.book().loadOf(m_lastUpstream, now).unreadTokens;
+        m_unreadAtPause = m_shared.state.upstreams().load(m_lastUpstream, now).prefillTokens;
 }
 
 /// Which of the route's bounds a delivered stream missed first: `first` event, `pause`, or none.
@@ -188,20 +188,21 @@
 void ForwardCall::noteFirst()
 {
     if (m_unread > 0)
-        m_shared.state.book().firstEvent(m_lastUpstream, std::exchange(m_unread, 0));
+        m_shared.state.upstreams().firstEvent(m_lastUpstream, std::exchange(m_unread, 0));
     noteBegan();
     if (std::exchange(m_isAwaited, false))
-        m_shared.state.book().noteRead(m_service, m_ahead, RuntimeClock::now() - m_sentAt);
+        m_shared.state.upstreams().recordPrefill(m_service, m_ahead,
+                                                 RuntimeClock::now() - m_sentAt);
     if (m_firstByte)
         return;
     m_firstByte = RuntimeClock::now();
-    m_shared.latencies.note(Timed::FirstByte, *m_firstByte - m_arrived);
+    m_shared.latencies.recordLatency(LatencyKind::FirstByte, *m_firstByte - m_arrived);
 }
 
 /// Counts the call as used by its account, once however often it is sent.
 void ForwardCall::noteBegan()
 {
-    const bool isRefused = m_exchange && m_exchange->facts().notRun;
+    const bool isRefused = m_exchange && m_exchange->metadata().notRun;
     if (isRefused || std::exchange(m_hasBegun, true))
         return;
     if (m_account != nullptr && m_shared.began)
--- a/src/forward/forwardcall_send.cpp
+++ b/src/forward/forwardcall_send.cpp
@@ -29,29 +29,30 @@
 
 } // namespace
 
-ChoiceAsk ForwardCall::makeAsk() const
+SelectionQuery ForwardCall::makeAsk() const
 {
-    ChoiceAsk ask{m_service, m_facts.model, m_facts.prompt, &m_tried, m_table->service(m_service)};
-    ask.patience = {milliseconds(m_route->targetLatencyMs), timeLeft(),
-                    m_table->isMostUrgent(*m_route, m_service), m_route->priority};
-    ask.zones = m_zones ? &*m_zones : nullptr;
-    ask.mayRefuse = m_tried.empty() && !m_facts.resumeAfter;
+    SelectionQuery ask{m_service, m_metadata.model, m_metadata.prompt, &m_tried,
+                       m_table->service(m_service)};
+    ask.slack = {milliseconds(m_route->targetLatencyMs), timeLeft(),
+                 m_table->isMostUrgent(*m_route, m_service), m_route->priority};
+    ask.permittedZones = m_zones ? &*m_zones : nullptr;
+    ask.mayRefuse = m_tried.empty() && !m_metadata.resumeAfter;
     return ask;
 }
 
 /// Chooses an upstream, or has it chosen.
-asio::awaitable<PlacedChoice> ForwardCall::choose()
+asio::awaitable<PlacementResult> ForwardCall::choose()
 {
     GatewayState &state = m_shared.state;
-    ChoiceAsk ask = makeAsk();
-    PlacedChoice placed;
+    SelectionQuery ask = makeAsk();
+    PlacementResult placed;
     if (m_shared.adviser == nullptr) {
-        placed.choice = state.book().choose(ask, state.directory(), RuntimeClock::now());
+        placed.selection = state.upstreams().select(ask, state.directory(), RuntimeClock::now());
         co_return placed;
     }
-    placed = co_await m_shared.adviser->choose(std::move(ask));
-    m_placedBy = placed.by;
-    m_placing += placed.took;
+    placed = co_await m_shared.adviser->select(std::move(ask));
+    m_placedBy = placed.placedBy;
+    m_placing += placed.duration;
     co_return placed;
 }
 
@@ -60,15 +61,15 @@
 ErrorKind ForwardCall::kindWithoutUpstream() const
 {
     const UpstreamDirectory &directory = m_shared.state.directory();
-    if (!directory.usableOf(m_service).empty()) {
-        const ChoiceAsk ask = makeAsk();
-        const UpstreamBook &book = m_shared.state.book();
+    if (!directory.usableUpstreams(m_service).empty()) {
+        const SelectionQuery ask = makeAsk();
+        const UpstreamTable &book = m_shared.state.upstreams();
         const Time now = RuntimeClock::now();
-        if (book.isKeptByBackoffs(ask, directory, now))
+        if (book.isBlockedByBackoff(ask, directory, now))
             return ErrorKind::UpstreamBackoff;
-        if (book.isKeptByLimits(ask, directory, now))
+        if (book.isBlockedByLimit(ask, directory, now))
             return ErrorKind::UpstreamLimit;
-        const bool isKept = m_zones && !book.hasOther(ask, directory, now);
+        const bool isKept = m_zones && !book.hasAlternative(ask, directory, now);
         return isKept ? ErrorKind::NoUpstreamInRegion : ErrorKind::NoUpstream;
     }
     const bool isEvacuated = std::ranges::any_of(
@@ -85,13 +86,13 @@
 {
     if (!mayBeSuspect())
         return std::nullopt;
-    const auto left = m_shared.state.crashes().leftFor(digest(), RuntimeClock::now());
+    const auto left = m_shared.state.crashes().remainingQuarantine(digest(), RuntimeClock::now());
     if (!left)
         return std::nullopt;
     m_comeBack = left;
     m_lastReason = "upstreams ended under this request, at whatever gateway it came";
     if (m_headDelivered)
-        return ForwardDecision{ForwardStep::Cut, ErrorKind::RequestQuarantined};
+        return ForwardDecision{ForwardStep::Abort, ErrorKind::RequestQuarantined};
     if (m_mayHaveRun)
         return ForwardDecision{ForwardStep::Fail, ErrorKind::UpstreamLost};
     return ForwardDecision{ForwardStep::Refuse, ErrorKind::RequestQuarantined};
@@ -103,10 +104,10 @@
     if (const auto decision = quarantined())
         co_return decision;
     GatewayState &state = m_shared.state;
-    const PlacedChoice placed = co_await choose();
-    const std::optional<Choice> &choice = placed.choice;
-    if (placed.comeBack) {
-        m_comeBack = placed.comeBack;
+    const PlacementResult placed = co_await choose();
+    const std::optional<Selection> &choice = placed.selection;
+    if (placed.retryAfter) {
+        m_comeBack = placed.retryAfter;
         m_lastReason = "the engines are too far behind";
         co_return ForwardDecision{ForwardStep::Refuse, ErrorKind::PredictedLate};
     }
@@ -114,37 +115,37 @@
         m_lastReason = "no upstream of the service takes work";
         const ErrorKind kind = m_mayHaveRun ? ErrorKind::OutcomeUnknown : kindWithoutUpstream();
         const ForwardStep step = m_mayHaveRun ? ForwardStep::Fail : ForwardStep::Refuse;
-        co_return ForwardDecision{m_headDelivered ? ForwardStep::Cut : step, kind};
+        co_return ForwardDecision{m_headDelivered ? ForwardStep::Abort : step, kind};
     }
     const UpstreamEntry entry = *state.directory().find(choice->upstream);
     m_tried.insert(entry.id);
     m_lastUpstream = entry.id;
     m_lastCost = choice->cost;
-    m_unread = choice->unreadTokens;
-    m_toRead = choice->unreadTokens;
-    m_ahead = choice->aheadTokens;
+    m_unread = choice->prefillTokens;
+    m_toRead = choice->prefillTokens;
+    m_ahead = choice->tokensToFirstEvent;
     m_sentAt = RuntimeClock::now();
     m_isAwaited = true;
-    m_isBrief = choice->isBrief;
+    m_isBrief = choice->isShortPrompt;
     m_fetchFrom.reset();
     if (choice->fetchFrom)
         m_fetchFrom = state.directory().find(*choice->fetchFrom)->address;
-    state.book().sent(entry.id, makeAsk(), *choice, RuntimeClock::now());
-    const SendEnd end = co_await exchange(entry);
+    state.upstreams().sent(entry.id, makeAsk(), *choice, RuntimeClock::now());
+    const SendResult end = co_await exchange(entry);
     noteEnd(entry, end);
-    if (end == SendEnd::Lost && m_stop == Stop::None)
+    if (end == SendResult::Lost && m_stop == Stop::None)
         noteLost(entry);
-    if (m_stop != Stop::None && end != SendEnd::Complete) {
-        const bool notRun = end == SendEnd::NotConnected && !m_mayHaveRun;
+    if (m_stop != Stop::None && end != SendResult::Complete) {
+        const bool notRun = end == SendResult::NotConnected && !m_mayHaveRun;
         const ForwardStep step = notRun ? ForwardStep::Refuse : ForwardStep::Fail;
-        co_return ForwardDecision{m_headDelivered ? ForwardStep::Cut : step, kindOfStop()};
+        co_return ForwardDecision{m_headDelivered ? ForwardStep::Abort : step, kindOfStop()};
     }
-    const ForwardDecision decision = afterSend(end, stateNow(end));
-    if (decision.step != ForwardStep::SendAgain)
+    const ForwardDecision decision = nextStep(end, stateNow(end));
+    if (decision.step != ForwardStep::Retry)
         co_return decision;
     m_shared.counters.retried(decision.kind);
     LogLine(LogLevel::Info, "send-again")
-        .with("attempt", m_facts.attemptId)
+        .with("attempt", m_metadata.attemptId)
         .with("after", toString(end))
         .with("upstream", entry.id.text)
         .with("reason", m_lastReason)
@@ -153,7 +154,7 @@
     co_return std::nullopt;
 }
 
-ForwardState ForwardCall::stateNow(SendEnd end)
+ForwardState ForwardCall::stateNow(SendResult end)
 {
     GatewayState &state = m_shared.state;
     ForwardState now;
@@ -162,20 +163,21 @@
     now.headDelivered = m_headDelivered;
     now.sends = m_sends;
     now.maxAttempts = m_route->maxAttempts;
-    now.misses = m_misses;
-    now.absences = m_absences;
+    now.connectFailures = m_connectFailures;
+    now.connectRefusals = m_connectRefusals;
     const Duration needed = std::max<Duration>(
         milliseconds(m_route->targetLatencyMs) / targetPartForSend, leastTimeForSend);
     now.timeLeft = timeLeft() > needed;
     now.mayHaveRun = m_mayHaveRun;
-    now.othersLeft = state.book().hasOther(makeAsk(), state.directory(), RuntimeClock::now());
+    now.upstreamsLeft =
+        state.upstreams().hasAlternative(makeAsk(), state.directory(), RuntimeClock::now());
     now.retryLeft = true;
-    if (end == SendEnd::NotConnected)
+    if (end == SendResult::NotConnected)
         return now;
     // Whether the budget has one more is asked only where it alone decides.
-    const bool wanted = afterSend(end, now).step == ForwardStep::SendAgain;
+    const bool wanted = nextStep(end, now).step == ForwardStep::Retry;
     now.retryLeft = wanted && state.retries().take(m_service, RuntimeClock::now());
-    if (end != SendEnd::RefusedNotRun)
+    if (end != SendResult::RefusedNotRun)
         m_mayHaveRun = true;
     return now;
 }
@@ -192,23 +194,23 @@
     if (!channel)
         m_lastReason = failure.reason;
     else
-        m_shared.latencies.note(Timed::Connect, RuntimeClock::now() - began);
+        m_shared.latencies.recordLatency(LatencyKind::Connect, RuntimeClock::now() - began);
     co_return channel;
 }
 
-asio::awaitable<SendEnd> ForwardCall::exchange(const UpstreamEntry &entry)
+asio::awaitable<SendResult> ForwardCall::exchange(const UpstreamEntry &entry)
 {
     m_exchange.reset();
     m_channel = co_await openChannel(entry);
     if (!m_channel || m_stop != Stop::None) {
-        ++(m_nobodyListened ? m_absences : m_misses);
-        co_return SendEnd::NotConnected;
+        ++(m_nobodyListened ? m_connectRefusals : m_connectFailures);
+        co_return SendResult::NotConnected;
     }
     if (m_sends == 0)
-        m_shared.state.retries().first(m_service, RuntimeClock::now());
+        m_shared.state.retries().recordFirstSend(m_service, RuntimeClock::now());
     ++m_sends;
-    m_shared.counters.add(Count::Dispatched);
-    m_exchange.emplace(m_channel, m_shared.dialect);
+    m_shared.counters.add(Counter::Dispatched);
+    m_exchange.emplace(m_channel, m_shared.headerCodec);
     const UpstreamCall call = makeCall(entry);
     bool good = co_await m_exchange->write(call);
     if (good)
@@ -227,38 +229,38 @@
     const auto target = m_request.target();
     call.target.assign(target.data(), target.size());
     call.body = m_request.body();
-    call.attemptId = m_facts.attemptId;
-    SendFacts facts;
-    facts.upstream = entry.id;
-    facts.patience = timeLeft();
+    call.attemptId = m_metadata.attemptId;
+    SendMetadata metadata;
+    metadata.upstream = entry.id;
+    metadata.timeout = timeLeft();
     if (m_account != nullptr)
-        facts.account = m_account->name;
-    facts.urgency = m_table->urgencyOf(*m_route, m_account);
-    facts.resumeAfter = m_events.lastId();
-    facts.fetchFrom = m_fetchFrom;
-    m_shared.dialect.writeSend(m_request, facts, &call.fields);
+        metadata.account = m_account->name;
+    metadata.urgency = m_table->urgencyRank(*m_route, m_account);
+    metadata.resumeAfter = m_events.lastId();
+    metadata.fetchFrom = m_fetchFrom;
+    m_shared.headerCodec.writeSend(m_request, metadata, &call.fields);
     return call;
 }
 
-void ForwardCall::noteEnd(const UpstreamEntry &entry, SendEnd end)
+void ForwardCall::noteEnd(const UpstreamEntry &entry, SendResult end)
 {
-    UpstreamBook &book = m_shared.state.book();
+    UpstreamTable &book = m_shared.state.upstreams();
     book.ended(entry.id, std::exchange(m_unread, 0), m_isBrief);
     if (m_exchange && m_lastReason.empty())
         m_lastReason = m_exchange->reason();
     const bool ownStop = m_stop != Stop::None;
-    if (end == SendEnd::Complete && m_shared.cleared && mayBeSuspect()
+    if (end == SendResult::Complete && m_shared.cleared && mayBeSuspect()
         && m_shared.state.crashes().isSuspect(digest()))
         m_shared.cleared(digest());
-    if (end == SendEnd::Complete && !m_facts.prompt.empty())
-        book.noteHeld(m_service, RuntimeClock::now() - m_sentAt);
-    if (end == SendEnd::Complete || end == SendEnd::OwnFailure)
+    if (end == SendResult::Complete && !m_metadata.prompt.empty())
+        book.recordCallDuration(m_service, RuntimeClock::now() - m_sentAt);
+    if (end == SendResult::Complete || end == SendResult::ServerError)
         book.succeeded(entry.id);
     else if (std::exchange(m_nobodyListened, false))
-        book.absent(entry.id, RuntimeClock::now());
-    else if (end != SendEnd::RefusedNotRun && !ownStop)
+        book.connectionRefused(entry.id, RuntimeClock::now());
+    else if (end != SendResult::RefusedNotRun && !ownStop)
         book.failed(entry.id, RuntimeClock::now());
-    else if (end == SendEnd::RefusedNotRun && m_exchange->facts().isOtherLife)
+    else if (end == SendResult::RefusedNotRun && m_exchange->metadata().isMisdirected)
         book.replaced(entry.id);
     if (!m_channel)
         return;
@@ -277,13 +279,13 @@
 void ForwardCall::noteLost(const UpstreamEntry &entry)
 {
     LogLine(LogLevel::Info, "upstream-lost-under-call")
-        .with("attempt", m_facts.attemptId)
+        .with("attempt", m_metadata.attemptId)
         .with("request", toString(digest()))
         .with("upstream", entry.id.text)
-        .with("born", entry.id.born)
-        .with("events", m_events.events())
+        .with("born", entry.id.startedAt)
+        .with("events", m_events.eventCount())
         .with("ahead", m_ahead)
-        .with("running", m_shared.state.book().loadOf(entry.id, RuntimeClock::now()).running)
+        .with("running", m_shared.state.upstreams().load(entry.id, RuntimeClock::now()).running)
         .with("ms", static_cast<std::int64_t>(toMillis(RuntimeClock::now() - m_sentAt)));
     if (m_shared.crashes != nullptr)
         m_shared.crashes->lost(entry, digest());
--- a/src/forward/forwarder.cpp
+++ b/src/forward/forwarder.cpp
@@ -7,7 +7,7 @@
 #include <boost/asio/detached.hpp>
 
 #include <reachlead/log.h>
-#include <reachlead/socketlimits.h>
+#include <reachlead/sockettimeouts.h>
 
 #include "forwardcall.h"
 #include "refusal.h"
@@ -60,7 +60,7 @@
             m_shared.counters.refused(ErrorKind::OpenRequests);
             continue; // closed unread, so the caller may come again
         }
-        limitSilence(socket);
+        setSocketTimeouts(socket);
         auto caller = std::make_shared<CallerStream>(std::move(socket));
         m_open.insert(caller);
         caller->start();
@@ -70,7 +70,7 @@
 
 asio::awaitable<void> Forwarder::serve(std::shared_ptr<CallerStream> caller)
 {
-    m_shared.counters.shift(Gauge::OpenConnections, 1);
+    m_shared.counters.adjust(Gauge::OpenConnections, 1);
     bool goOn = true;
     while (goOn)
         goOn = co_await serveOne(*caller);
@@ -78,7 +78,7 @@
         co_await caller->closeGently();
     caller->abort();
     m_open.erase(caller);
-    m_shared.counters.shift(Gauge::OpenConnections, -1);
+    m_shared.counters.adjust(Gauge::OpenConnections, -1);
 }
 
 asio::awaitable<bool> Forwarder::serveOne(CallerStream &caller)
--- a/src/forward/forwarder.h
+++ b/src/forward/forwarder.h
@@ -15,10 +15,10 @@
 #include <boost/asio/ip/tcp.hpp>
 
 #include <reachlead/counters.h>
-#include <reachlead/crashbook.h>
+#include <reachlead/crashtracker.h>
 #include <reachlead/gatewaystate.h>
 #include <reachlead/latency.h>
-#include <reachlead/placementadviser.h>
+#include <reachlead/upstreamselector.h>
 
 #include "caller/callerstream.h"
 #include "upstream/upstreamchannel.h"
@@ -33,14 +33,14 @@
 {
     boost::asio::io_context &io;
     GatewayState &state;
-    const Dialect &dialect;
+    const HeaderCodec &headerCodec;
     Counters &counters;
-    Latencies &latencies;
+    LatencyHistograms &latencies;
     UpstreamPool pool;
     std::mt19937_64 random{std::random_device{}()};
     /// Calls at work. Held by each of them, as the last ones end with the event loop.
     std::shared_ptr<std::set<ForwardCall *>> calls = std::make_shared<std::set<ForwardCall *>>();
-    PlacementAdviser *adviser = nullptr; ///< chooses upstreams; null: the state's own book
+    UpstreamSelector *adviser = nullptr; ///< chooses upstreams; null: the state's own book
     CrashWatch *crashes = nullptr; ///< told of calls that lost their upstream; null: nobody is
     /// Told of a request that completed although an upstream had ended under it; may be empty.
     std::function<void(const RequestDigest &)> cleared = {};
--- a/src/include/reachlead/accountlimiter.h
+++ b/src/include/reachlead/accountlimiter.h
@@ -26,8 +26,8 @@
     void setPolicies(PoliciesPtr policies) { m_policies = std::move(policies); }
 
     /// Sets this router's part of every limit, 0 … 1.
-    void setPart(double part) { m_part = part; }
-    double part() const { return m_part; }
+    void setLimitShare(double part) { m_part = part; }
+    double limitShare() const { return m_part; }
 
     /// Takes a place for one request; an error kind when a limit stands against it.
     ErrorKind acquire(const AccountName &account, Time now);
--- a/src/include/reachlead/admission.h
+++ b/src/include/reachlead/admission.h
@@ -23,29 +23,29 @@
 public:
     struct Bounds
     {
-        std::uint32_t least = 1;
-        std::uint32_t most = 64;
-        std::uint32_t first = 8;
+        std::uint32_t minSize = 1;
+        std::uint32_t maxSize = 64;
+        std::uint32_t initialSize = 8;
     };
 
-    explicit AdmissionWindow(Bounds bounds) : m_bounds(bounds), m_size(bounds.first) { }
+    explicit AdmissionWindow(Bounds bounds) : m_bounds(bounds), m_size(bounds.initialSize) { }
 
     /// Learns the time between two tokens of one answer.
     void observe(Duration gap, Time now);
 
     /// Looks at what was learned and moves the window. \p tightest is the smallest target among
     /// the running requests, none when no request has one.
-    void steer(Time now, std::uint32_t running, std::optional<Duration> tightest);
+    void adjust(Time now, std::uint32_t running, std::optional<Duration> tightest);
 
     std::uint32_t size() const { return m_size; }
 
     /// The time between tokens, as last looked at; zero before the first look.
-    Duration gap() const { return fromSeconds(m_gapSeconds); }
+    Duration tokenGap() const { return fromSeconds(m_gapSeconds); }
 
-    static constexpr Duration interval = milliseconds(200); ///< between two moves
-    static constexpr double growBelow = 0.92; ///< part of the target under which it grows
-    static constexpr double shrinkAbove = 1.0; ///< part of the target over which it shrinks
-    static constexpr double shrinkTo = 0.85; ///< part of the size that is kept
+    static constexpr Duration adjustInterval = milliseconds(200); ///< between two moves
+    static constexpr double growThreshold = 0.92; ///< part of the target under which it grows
+    static constexpr double shrinkThreshold = 1.0; ///< part of the target over which it shrinks
+    static constexpr double shrinkFactor = 0.85; ///< part of the size that is kept
 
 private:
     Bounds m_bounds;
--- a/src/include/reachlead/agentcore.h
+++ b/src/include/reachlead/agentcore.h
@@ -56,13 +56,13 @@
     std::string reason;
 };
 /// Hand the call to the upstream now.
-struct StartUpstream
+struct StartUpstreamCall
 {
     AttemptKey key;
     std::shared_ptr<const Dispatch> dispatch;
 };
 /// Stop the call at the upstream.
-struct CancelUpstream
+struct CancelUpstreamCall
 {
     AttemptKey key;
 };
@@ -80,7 +80,7 @@
     AccountName account;
     std::string idempotencyKey;
 };
-using AgentAction = std::variant<SendToRouter, CloseSession, StartUpstream, CancelUpstream,
+using AgentAction = std::variant<SendToRouter, CloseSession, StartUpstreamCall, CancelUpstreamCall,
                                  MakeClaim, ReleaseClaim>;
 
 /// The times and bounds of an agent.
@@ -89,11 +89,11 @@
     AdmissionWindow::Bounds window;
     std::size_t queueBound = 16; ///< requests that may wait at the agent
     Duration reattachGrace = seconds(5); ///< a cut stream runs on for this long
-    Duration keepFinished = seconds(30); ///< records of finished attempts
-    Duration keepAnswers = seconds(600); ///< answers of calls with an idempotency key
-    std::size_t mostKept = 4096; ///< finished records; the oldest goes first
-    std::size_t longestAnswer = 4U << 20U; ///< bytes of one answer
-    std::size_t mostRouters = 2048; ///< router incarnations remembered
+    Duration finishedRetention = seconds(30); ///< records of finished attempts
+    Duration answerRetention = seconds(600); ///< answers of calls with an idempotency key
+    std::size_t maxFinished = 4096; ///< finished records; the oldest goes first
+    std::size_t maxAnswerBytes = 4U << 20U; ///< bytes of one answer
+    std::size_t maxRouters = 2048; ///< router incarnations remembered
 };
 
 class AgentCore
@@ -143,17 +143,17 @@
                         std::string body, Time now);
     /// The upstream's process is gone, and was found so under this call. Tell this before the
     /// failure of the call, which drops its record.
-    void upstreamEnded(const AttemptKey &key, Time now);
+    void upstreamExited(const AttemptKey &key, Time now);
     /// The upstream failed the call; \p outcome says whether it can have run.
     void upstreamFailed(const AttemptKey &key, ErrorKind kind, Outcome outcome,
                         const std::string &reason, Time now);
     /// The upstream turned a call away and wants none for \p retryAfter. Tell this before the end
     /// of that call, as the next one would start with it.
-    void upstreamAskedToBackOff(Duration retryAfter, Time now);
+    void upstreamRequestedBackoff(Duration retryAfter, Time now);
     /// A longer backoff is cut to this: the agent does not hear of its upstream's next life.
-    static constexpr Duration longestBackoff = std::chrono::minutes(1);
+    static constexpr Duration maxBackoff = std::chrono::minutes(1);
     /// The claim asked for by MakeClaim ended.
-    void claimEnded(const AttemptKey &key, ClaimResult result, Time now);
+    void claimCompleted(const AttemptKey &key, ClaimResult result, Time now);
 
     // ---- the rest ----
 
@@ -192,7 +192,7 @@
     void handle(SessionId session, const Dispatch &message, Time now);
     void handle(SessionId session, const Cancel &message, Time now);
     void handle(SessionId session, const Credit &message, Time now);
-    void handle(SessionId session, const Query &message, Time now);
+    void handle(SessionId session, const AttemptQuery &message, Time now);
     void handle(SessionId session, const Leaving &message, Time now);
     void detach(SessionId session, Time now);
     void destroySession(SessionId session, const std::string &reason, Time now);
@@ -215,13 +215,13 @@
     void send(const Run &run, ToRouter message);
     void flush(Run &run);
     void endFailed(Run &run, ErrorKind kind, Outcome outcome, const std::string &reason, Time now);
-    void finish(Run &run, End end, Time now);
+    void finish(Run &run, AttemptResult end, Time now);
     void refuseRun(Run &run, ErrorKind kind, const std::string &reason);
     void leaveWindow(Run &run);
     void settle(const Run &run);
     void cancel(Run &run, Time now);
     void forget(const RequestId &id);
-    void forgetOld(Time now);
+    void dropExpired(Time now);
     void endGrace(Time now);
 
     VmName m_vm;
--- a/src/include/reachlead/replyslot.h
+++ b/src/include/reachlead/answerchannel.h
@@ -20,10 +20,10 @@
 ///
 /// Each way is announced through a ring at most once until the other side has looked, so a ring
 /// with a place for each open request is never full.
-class ReplySlot
+class AnswerChannel
 {
 public:
-    explicit ReplySlot(RequestId id) : m_id(id) { }
+    explicit AnswerChannel(RequestId id) : m_id(id) { }
 
     const RequestId &id() const { return m_id; }
 
@@ -38,7 +38,7 @@
     }
 
     /// Takes what the caller said: whether it went away, and how many tokens it took.
-    std::pair<bool, std::uint64_t> takeFromCaller()
+    std::pair<bool, std::uint64_t> takeCallerState()
     {
         std::scoped_lock lock(m_mutex);
         m_callerAnnounced = false;
@@ -56,7 +56,7 @@
     }
 
     /// The caller went away; true when the dispatching thread must be told.
-    bool gone()
+    bool setDisconnected()
     {
         std::scoped_lock lock(m_mutex);
         m_gone = true;
@@ -64,7 +64,7 @@
     }
 
     /// The caller took tokens; true when the dispatching thread must be told.
-    bool took(std::uint64_t tokens)
+    bool addConsumed(std::uint64_t tokens)
     {
         std::scoped_lock lock(m_mutex);
         m_took += tokens;
@@ -84,6 +84,6 @@
     bool m_callerAnnounced = false;
 };
 
-using ReplySlotPtr = std::shared_ptr<ReplySlot>;
+using AnswerChannelPtr = std::shared_ptr<AnswerChannel>;
 
 } // namespace reachlead
--- a/src/include/reachlead/apikey.h
+++ b/src/include/reachlead/apikey.h
@@ -22,6 +22,6 @@
 
 /// The account whose key this is; null when the key is wrong. Takes the same time whether the
 /// account or the secret is wrong.
-const AccountPolicy *accountOfKey(const Policies &policies, std::string_view key);
+const AccountPolicy *findAccountByKey(const Policies &policies, std::string_view key);
 
 } // namespace reachlead
--- a/src/include/reachlead/circuit.h
+++ b/src/include/reachlead/circuit.h
@@ -22,15 +22,15 @@
     /// Failures in a row that open the circuit.
     static constexpr unsigned failuresToOpen = 3;
     /// The first pause; it doubles up to the longest.
-    static constexpr Duration firstPause = seconds(1);
-    static constexpr Duration longestPause = seconds(30);
+    static constexpr Duration initialOpenDuration = seconds(1);
+    static constexpr Duration maxOpenDuration = seconds(30);
 
     /// How soon it opens, and for how long.
     struct Settings
     {
         unsigned failuresToOpen = Circuit::failuresToOpen; ///< in a row
-        Duration firstPause = Circuit::firstPause; ///< doubles up to longestPause
-        Duration longestPause = Circuit::longestPause;
+        Duration initialOpenDuration = Circuit::initialOpenDuration; ///< doubles up to longestPause
+        Duration maxOpenDuration = Circuit::maxOpenDuration;
     };
 
     Circuit();
@@ -52,7 +52,7 @@
     void failed(Time now);
 
     /// Nobody listens at the upstream's address: opens at once.
-    void absent(Time now);
+    void connectionRefused(Time now);
 
     /// A request ended without word on the upstream's health, as when its caller went away.
     void abandoned();
--- a/src/include/reachlead/claimbook.h
+++ b/src/include/reachlead/claimtable.h
@@ -31,32 +31,32 @@
 std::uint32_t claimPartition(const AccountName &account, std::string_view idempotencyKey);
 
 /// Partitions of one target; all agents and routers must agree on it.
-inline constexpr std::uint32_t claimPartitions = 32;
+inline constexpr std::uint32_t claimPartitionCount = 32;
 
 /// Numbers the calls that are out.
-enum class ClaimCall : std::uint64_t { };
+enum class ClaimCallId : std::uint64_t { };
 
 /// Read all slots of a partition.
 struct ReadSlots
 {
-    ClaimCall call{};
+    ClaimCallId call{};
     std::string prefix;
 };
 /// Write one slot if it stands at \p expected.
 struct WriteSlot
 {
-    ClaimCall call{};
+    ClaimCallId call{};
     std::string key;
     std::string value;
     ObjectVersion expected{};
 };
 /// The word on one claim.
-struct ClaimEnded
+struct ClaimCompleted
 {
     AttemptKey key;
     ClaimResult result = ClaimResult::StoreDown;
 };
-using ClaimAction = std::variant<ReadSlots, WriteSlot, ClaimEnded>;
+using ClaimAction = std::variant<ReadSlots, WriteSlot, ClaimCompleted>;
 
 /// The times and bounds of claims.
 struct ClaimTuning
@@ -70,17 +70,17 @@
 };
 
 /// Not thread-safe; the agent's platform thread owns it.
-class ClaimBook
+class ClaimTable
 {
 public:
     /// \p wallSeconds gives the time of day in seconds; it only decides when old claims go.
-    ClaimBook(TargetName target, ClaimTuning tuning, std::function<std::int64_t()> wallSeconds);
+    ClaimTable(TargetName target, ClaimTuning tuning, std::function<std::int64_t()> wallSeconds);
 
     void claim(const MakeClaim &claim, Time now);
     /// Gives a key back; tried until it is written.
     void release(const ReleaseClaim &release, Time now);
     /// The answer to a ReadSlots or WriteSlot.
-    void answered(ClaimCall call, const PlatformReply &reply, Time now);
+    void replyReceived(ClaimCallId call, const PlatformReply &reply, Time now);
     void tick(Time now);
     std::vector<ClaimAction> takeActions();
 
@@ -117,7 +117,7 @@
         bool inDoubt = false; ///< the reply to `writing` was lost
         Slot writingSlot;
         std::size_t writingPlace = 0;
-        ClaimCall call{};
+        ClaimCallId call{};
         Time nextAt{};
     };
 
@@ -145,7 +145,7 @@
     ClaimTuning m_tuning;
     std::function<std::int64_t()> m_wallSeconds;
     std::map<std::uint32_t, Partition> m_partitions;
-    std::map<ClaimCall, std::uint32_t> m_calls;
+    std::map<ClaimCallId, std::uint32_t> m_calls;
     std::uint64_t m_lastCall = 0;
     std::size_t m_waiting = 0;
     std::vector<ClaimAction> m_actions;
--- a/src/include/reachlead/clock.h
+++ b/src/include/reachlead/clock.h
@@ -72,13 +72,13 @@
 }
 
 /// Tells Asio how long to sleep for a RuntimeClock timer: a paused clock is looked at each
-/// millisecond of real time, a running one each longestLook.
+/// millisecond of real time, a running one each maxPollInterval.
 struct RuntimeWaitTraits
 {
     /// The kernel's timers stand still while the VM is suspended. Looked at this often, a limit
     /// that passed meanwhile takes effect a tenth of a second after the wake, before what was
     /// under way goes on for long.
-    static constexpr Duration longestLook = milliseconds(100);
+    static constexpr Duration maxPollInterval = milliseconds(100);
 
     static Duration to_wait_duration(const Duration &d);
     static Duration to_wait_duration(const Time &t);
--- a/src/include/reachlead/coldpace.h
+++ b/src/include/reachlead/coldstartlimiter.h
@@ -19,7 +19,7 @@
 /// the least loaded, and all calls of a second go there. A cold upstream ends under more than its
 /// service's rate, and is then cold again. Calls are spaced evenly: any second holds one more than
 /// the rate at most, and two schedulers that both believe to place for all stay below twice that.
-class ColdPace
+class ColdStartLimiter
 {
 public:
     /// The registry said, with this \p revision of the upstream's entry, that it is cold for \p
--- a/src/include/reachlead/counters.h
+++ b/src/include/reachlead/counters.h
@@ -17,7 +17,7 @@
 namespace reachlead {
 
 /// The counters that have no error kind as label.
-enum class Count : std::uint8_t {
+enum class Counter : std::uint8_t {
     RequestsAccepted,
     RequestsCompleted,
     Dispatched,
@@ -33,7 +33,7 @@
     Preempted,
     ForbiddenTransitions,
     HeartbeatsSent,
-    HeartbeatsHeard,
+    HeartbeatsReceived,
     SettingsApplied,
     SettingsStale,
     ClaimWrites,
@@ -52,11 +52,11 @@
     UsageWindowsSent,
     UsageSendsFailed,
     UsageTakeovers,
-    UpstreamsEnded,
-    QuarantinesBegun,
-    LimitsHeard,
-    LeavingHeard,
-    BackoffsHeard,
+    UpstreamsCrashed,
+    QuarantinesStarted,
+    LimitsReceived,
+    LeavingReceived,
+    BackoffsReceived,
     Size
 };
 
@@ -78,7 +78,7 @@
 {
 public:
     /// Adds \p n to a counter.
-    void add(Count c, std::uint64_t n = 1);
+    void add(Counter c, std::uint64_t n = 1);
 
     /// Counts a request refused or ended for this reason.
     void refused(ErrorKind kind);
@@ -87,9 +87,9 @@
     void retried(ErrorKind kind);
 
     void set(Gauge g, std::int64_t value);
-    void shift(Gauge g, std::int64_t by);
+    void adjust(Gauge g, std::int64_t by);
 
-    std::uint64_t value(Count c) const;
+    std::uint64_t value(Counter c) const;
     std::uint64_t refusedCount(ErrorKind kind) const;
     std::uint64_t retriedCount(ErrorKind kind) const;
     std::int64_t value(Gauge g) const;
@@ -100,7 +100,7 @@
 private:
     template <class T, std::size_t n> using Cells = std::array<std::atomic<T>, n>;
 
-    Cells<std::uint64_t, static_cast<std::size_t>(Count::Size)> m_counts{};
+    Cells<std::uint64_t, static_cast<std::size_t>(Counter::Size)> m_counts{};
     Cells<std::uint64_t, errorKindCount> m_refused{};
     Cells<std::uint64_t, errorKindCount> m_retried{};
     Cells<std::int64_t, static_cast<std::size_t>(Gauge::Size)> m_gauges{};
--- a/src/include/reachlead/crashbook.h
+++ b/src/include/reachlead/crashtracker.h
@@ -40,7 +40,7 @@
 ///
 /// What ran beside such a request more than once is in danger of being taken for it. It is lost
 /// for the quarantine's time at most, and only where its caller sends the very same request.
-class CrashBook
+class CrashTracker
 {
 public:
     /// Ends that put a request into quarantine: with two, calls that were sent again after one end
@@ -48,36 +48,36 @@
     static constexpr std::size_t crashLimit = 3;
     /// Length of a quarantine. A request that does no more harm, as the upstreams were mended, is
     /// served again after it; one that still does ends an upstream or two in this time.
-    static constexpr Duration quarantine = std::chrono::minutes(10);
+    static constexpr Duration quarantineDuration = std::chrono::minutes(10);
     /// A suspect is forgotten this long after the last end under it; the count outlives the
     /// quarantine, so that a single end renews it.
-    static constexpr Duration suspicion = 2 * quarantine;
+    static constexpr Duration suspectRetention = 2 * quarantineDuration;
     /// Bounds of memory: about 120 bytes a suspect; the one whose last end is longest ago yields.
-    static constexpr std::size_t mostSuspects = 2048;
+    static constexpr std::size_t maxSuspects = 2048;
     /// All fit into one datagram between gateways (20 bytes each). The one that has the least time
     /// left yields; whoever wants to fill the list ends three upstreams for each place.
-    static constexpr std::size_t mostQuarantined = 128;
+    static constexpr std::size_t maxQuarantined = 128;
 
     /// An upstream's process ended while it had the request. True when that begins or renews the
     /// request's quarantine.
-    bool ended(const RequestDigest &request, UpstreamTagNumber upstream, Time now);
+    bool recordCrash(const RequestDigest &request, UpstreamHash upstream, Time now);
 
     /// An upstream ran the request to its end.
-    void completed(const RequestDigest &request) { m_suspects.erase(request); }
+    void recordCompletion(const RequestDigest &request) { m_suspects.erase(request); }
 
     /// True when upstreams ended under the request lately.
     bool isSuspect(const RequestDigest &request) const { return m_suspects.contains(request); }
 
     /// False for the mark of a request that is neither suspect nor in quarantine: its proof need
     /// not be made.
-    bool mayKnow(std::uint64_t mark) const;
+    bool mayContain(std::uint64_t mark) const;
 
     /// Another gateway, or the platform's store, says that a request is in quarantine for another
     /// \p left. True when this book did not know.
-    bool learn(const RequestDigest &request, Duration left, Time now);
+    bool mergeQuarantine(const RequestDigest &request, Duration left, Time now);
 
     /// What is left of a request's quarantine; nothing when it may be sent.
-    std::optional<Duration> leftFor(const RequestDigest &request, Time now) const;
+    std::optional<Duration> remainingQuarantine(const RequestDigest &request, Time now) const;
 
     bool isQuarantineEmpty(Time now) const;
     /// Nothing is known of any request.
@@ -86,17 +86,17 @@
     std::vector<QuarantinedRequest> quarantined(Time now) const;
 
     /// Equal at gateways that have the same requests in quarantine; 0 for none.
-    std::uint64_t mark(Time now) const;
+    std::uint64_t checksum(Time now) const;
 
     /// Drops suspects and quarantines whose time is over.
-    void forgetOld(Time now);
+    void dropExpired(Time now);
 
     std::size_t suspects() const { return m_suspects.size(); }
 
 private:
     struct Suspect
     {
-        std::set<UpstreamTagNumber> ended;
+        std::set<UpstreamHash> ended;
         Time last{};
     };
 
--- a/src/include/reachlead/quietengines.h
+++ b/src/include/reachlead/dedicatedengines.h
@@ -26,20 +26,20 @@
 /// Load pattern: how many streams of short prompts run follows the kinds of calls and their bursts.
 /// A fixed tenth of 55 engines was full (32 places each) on a day without trouble, and 18 % of the
 /// short calls waited more than 0.6 s for a place, while other engines stood idle.
-class QuietEngines
+class DedicatedEngines
 {
 public:
     struct Settings
     {
         /// Part of the engines that each of the two kinds keeps whatever the demand, so that the
         /// first prompts of a burst find some.
-        double leastPart = 0.1;
+        double minShare = 0.1;
         /// Part of a quiet engine's places that is planned for. The rest is for what the next
         /// moment brings and for placing by loads that are up to 2.5 s old.
-        double fill = 0.6;
+        double targetUtilization = 0.6;
         /// Work of unread prompts at which an engine of long prompts counts as used up, ms: on
         /// average about that of one prompt, as they come in clumps.
-        double backlog = 200.0;
+        double backlogPerEngineMs = 200.0;
     };
 
     /// What is asked of a service's engines, by all gateways that were heard.
@@ -55,7 +55,7 @@
     /// of long prompts; it rises at once.
     static constexpr Duration shrinkPause = seconds(2);
 
-    explicit QuietEngines(const Settings &settings) : m_settings(settings) { }
+    explicit DedicatedEngines(const Settings &settings) : m_settings(settings) { }
 
     /// True when the demand is to be told again.
     bool isDue(Time now) const { return m_lookedAt + lookInterval <= now; }
--- a/src/include/reachlead/earlyrefusal.h
+++ b/src/include/reachlead/earlyrefusal.h
@@ -14,12 +14,12 @@
 namespace reachlead {
 
 /// What is asked of a call that is to be placed.
-struct Patience
+struct LatencySlack
 {
     Duration target{}; ///< to its first event; zero: none is promised
-    Duration left{}; ///< until its caller gives up
+    Duration timeLeft{}; ///< until its caller gives up
     bool isMostUrgent = false; ///< no kind of call of its service goes before it
-    unsigned rank = 0; ///< of its kind; 0 is the most urgent
+    unsigned urgencyRank = 0; ///< of its kind; 0 is the most urgent
 };
 
 /// Decides whether a call has a use where it would be placed. Pure.
@@ -36,13 +36,13 @@
     /// makes a token each 60 ms for the streams beside. Of 4,192 long calls of a day that begins
     /// with empty caches 2,824 were answered in time, 2,600 with 0.25 targets. A
     /// setting; 0 refuses none.
-    double targets = 0.1;
+    double waitTargets = 0.1;
 
     /// The engines read the most urgent calls first, so most of the wait is not theirs: they bear
     /// this many targets of it. Of 39 overloaded days played with 0.5 three refused more than a
     /// twelfth of the urgent calls of some five seconds while less urgent ones began, of 39
     /// with 1.0 none.
-    double urgentTargets = 1.0;
+    double urgentWaitTargets = 1.0;
 
     /// Part of the caller's time that must be left for the answer itself.
     double answerPart = 0.5;
@@ -50,7 +50,7 @@
     /// When to come back, if the call is to be refused: once the work in front of it would let its
     /// turn come in time. \p wait is the predicted time until an engine begins with it. Its own
     /// prompt does not count, as a long one would be refused by an idle engine too.
-    std::optional<Duration> decide(const Patience &patience, Duration wait) const;
+    std::optional<Duration> decide(const LatencySlack &patience, Duration wait) const;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/error.h
+++ b/src/include/reachlead/error.h
@@ -66,7 +66,7 @@
     KeyAnswered,
     OutcomeUnknown,
     // Ends without a fault of ours.
-    CallerGone,
+    CallerDisconnected,
     Superseded,
     AnswerCorrupt,
     Internal,
@@ -94,7 +94,7 @@
 const ErrorRow &errorRow(ErrorKind kind);
 
 /// The kind of a name, for reports and tests.
-std::optional<ErrorKind> errorKindOf(std::string_view name);
+std::optional<ErrorKind> parseErrorKind(std::string_view name);
 
 /// `not-run`, `ran` or `unknown`.
 std::string_view toString(Outcome outcome);
--- a/src/include/reachlead/evacuations.h
+++ b/src/include/reachlead/evacuations.h
@@ -19,7 +19,7 @@
 using ZoneSet = std::set<ZoneName>;
 
 /// What one gateway tells another: the zones, and the platform's revision of their last change.
-struct EvacuationNews
+struct EvacuationUpdate
 {
     std::uint64_t revision = 0; ///< 0: the teller knows nothing
     ZoneSet zones;
@@ -38,7 +38,7 @@
 {
 public:
     /// Takes the platform's whole set as of its revision \p asOf; true when the zones changed.
-    bool read(ZoneSet zones, std::uint64_t asOf)
+    bool setFromPlatform(ZoneSet zones, std::uint64_t asOf)
     {
         if (asOf < m_readAt)
             return false;
@@ -54,7 +54,7 @@
 
     /// Takes what a peer told, if it changed later than what is known here was read; true when the
     /// zones changed.
-    bool take(const EvacuationNews &news)
+    bool applyUpdate(const EvacuationUpdate &news)
     {
         if (news.revision <= m_readAt)
             return false;
@@ -65,19 +65,19 @@
 
     /// A peer has a set of this revision and mark(). Where this gateway read a different set later,
     /// its own becomes news: it may be the only one that read the platform after the change.
-    void compare(std::uint64_t revision, std::uint32_t mark)
+    void compareWithPeer(std::uint64_t revision, std::uint32_t mark)
     {
         if (revision > m_revision && revision <= m_readAt)
-            m_revision = mark == this->mark() ? revision : m_readAt;
+            m_revision = mark == this->checksum() ? revision : m_readAt;
     }
 
     /// A number by which sets are told apart; 0: no zone.
-    std::uint32_t mark() const;
+    std::uint32_t checksum() const;
 
-    /// What is told to a gateway whose readAt() is \p known; a revision of 0 tells nothing.
-    EvacuationNews newsSince(std::uint64_t known) const
+    /// What is told to a gateway whose readRevision() is \p known; a revision of 0 tells nothing.
+    EvacuationUpdate updateSince(std::uint64_t known) const
     {
-        return m_revision > known ? EvacuationNews{m_revision, m_zones} : EvacuationNews{};
+        return m_revision > known ? EvacuationUpdate{m_revision, m_zones} : EvacuationUpdate{};
     }
 
     const ZoneSet &zones() const { return m_zones; }
@@ -86,7 +86,7 @@
     /// The platform's revision of the last change; 0: nothing is known.
     std::uint64_t revision() const { return m_revision; }
     /// The platform's revision at which the set was last read, or its last change by a peer.
-    std::uint64_t readAt() const { return m_readAt; }
+    std::uint64_t readRevision() const { return m_readAt; }
 
 private:
     /// Of a set that was empty when it was first read. Changes have higher revisions.
--- a/src/include/reachlead/eventsplitter.h
+++ b/src/include/reachlead/eventsplitter.h
@@ -24,18 +24,18 @@
     std::string feed(std::string_view bytes, bool *tooLong);
 
     /// True when bytes of an event are held whose end did not come.
-    bool holdsPart() const { return !m_held.empty(); }
+    bool hasPartialEvent() const { return !m_held.empty(); }
 
     /// Forgets the bytes that are held; the stream goes on from another source.
-    void dropPart() { m_held.clear(); }
+    void dropPartialEvent() { m_held.clear(); }
 
     /// The id of the last event that feed() returned; none: no event had one.
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
 
     /// The events that feed() returned so far.
-    std::uint64_t events() const { return m_events; }
+    std::uint64_t eventCount() const { return m_events; }
 
-    static constexpr std::size_t mostHeld = 1U << 20U; ///< bytes of one event
+    static constexpr std::size_t maxEventBytes = 1U << 20U; ///< bytes of one event
 
 private:
     void noteEvents(std::string_view whole);
--- a/src/include/reachlead/fleetkeys.h
+++ b/src/include/reachlead/fleetkeys.h
@@ -26,7 +26,7 @@
     FleetKeys() = default;
 
     /// Reads a key from each line; empty lines and those that begin with # are passed over. Empty
-    /// with \p reason set when there is none, or one is shorter than shortestKey.
+    /// with \p reason set when there is none, or one is shorter than minKeySize.
     static std::optional<FleetKeys> parse(std::string_view text, std::string *reason);
 
     bool empty() const { return m_keys.empty(); }
@@ -43,7 +43,7 @@
     /// True when one of the keys made the tag, or when there are no keys. Constant time.
     bool verifyTag(std::string_view text, std::string_view tag) const;
 
-    static constexpr std::size_t shortestKey = 16; ///< bytes
+    static constexpr std::size_t minKeySize = 16; ///< bytes
     static constexpr std::size_t tagSize = 16; ///< bytes; RFC 2104 asks for half of the digest
 
 private:
--- a/src/include/reachlead/fleetsource.h
+++ b/src/include/reachlead/fleetsource.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include <reachlead/crashbook.h>
+#include <reachlead/crashtracker.h>
 #include <reachlead/evacuations.h>
 #include <reachlead/routing.h>
 #include <reachlead/routingdelta.h>
@@ -54,7 +54,7 @@
     std::uint64_t config = 0;
     std::uint64_t registry = 0;
     std::uint64_t registryDigest = 0; ///< as UpstreamDirectory::digest()
-    std::uint64_t evacuations = 0; ///< as Evacuations::readAt()
+    std::uint64_t evacuations = 0; ///< as Evacuations::readRevision()
     std::uint64_t roster = 0; ///< as GatewayRoster::revision
 
     template <class Archive> void serialize(Archive &ar)
@@ -64,12 +64,12 @@
 };
 
 /// What one gateway tells another that is behind.
-struct GatewayNews
+struct StateUpdate
 {
     std::optional<RoutingConfig> config; ///< whole, where its change could not be told
     std::optional<RoutingDelta> configChange;
-    RegistryNews registry;
-    EvacuationNews evacuations;
+    RegistryUpdate registry;
+    EvacuationUpdate evacuations;
     GatewayRoster roster; ///< of revision 0: nothing newer
 };
 
@@ -91,7 +91,7 @@
     virtual void contactChanged(bool inContact) = 0;
 
     /// The registry answered just now, and all that it had was told.
-    virtual void current() = 0;
+    virtual void caughtUp() = 0;
 
     /// Requests that end upstreams, as some gateway published them.
     virtual void quarantineRead(std::vector<QuarantinedRequest> requests) = 0;
@@ -107,10 +107,10 @@
     virtual void start(FleetSink *sink, const GatewayEntry &self) = 0;
 
     /// Whether to go on following, or to rest after the first reading until told otherwise.
-    virtual void setDuty(bool watches) = 0;
+    virtual void setWatching(bool watches) = 0;
 
     /// Whether peers tell all that is needed. A first reading that failed is then not repeated.
-    virtual void setServed(bool isServed) = 0;
+    virtual void setServedByPeers(bool isServed) = 0;
 
     /// Keeps the list of gateways where those that start read it, unless it changed since the
     /// revision that \p roster was made from: whoever knows less would else take others off.
--- a/src/include/reachlead/fleettime.h
+++ b/src/include/reachlead/fleettime.h
@@ -29,16 +29,16 @@
 {
 public:
     /// A clock said \p clock at \p at; this VM's own has the name of its VM as well.
-    void note(const VmName &vm, UnixMillis clock, Time at);
+    void recordClock(const VmName &vm, UnixMillis clock, Time at);
 
     /// The fleet's time of day at \p at; 0 before any clock was noted.
     UnixMillis at(Time at) const;
 
-    /// Forgets clocks that were not heard for clockAge.
+    /// Forgets clocks that were not heard for maxClockAge.
     void dropOld(Time now);
 
     /// A gateway is heard about each ten seconds in a large fleet.
-    static constexpr Duration clockAge = seconds(30);
+    static constexpr Duration maxClockAge = seconds(30);
 
 private:
     struct Clock
--- a/src/include/reachlead/forwardpolicy.h
+++ b/src/include/reachlead/forwardpolicy.h
@@ -15,18 +15,18 @@
 namespace reachlead {
 
 /// How a send to an upstream ended.
-enum class SendEnd : std::uint8_t {
+enum class SendResult : std::uint8_t {
     Complete, ///< a whole answer came
     NotConnected, ///< nothing was written: it cannot run
     RefusedNotRun, ///< the upstream vouches that it did not run it
-    OwnFailure, ///< a whole answer with a 5xx of the upstream's own: it ran
+    ServerError, ///< a whole answer with a 5xx of the upstream's own: it ran
     Lost, ///< the connection broke after something was written
     Corrupt, ///< bytes that are not this call's answer
     Stalled, ///< no sign of life for too long
     Size
 };
 
-std::string_view toString(SendEnd end);
+std::string_view toString(SendResult end);
 
 /// What the decision rests on.
 struct ForwardState
@@ -37,19 +37,20 @@
     unsigned sends = 0; ///< that may have reached an upstream, this one included
     unsigned maxAttempts = 1;
     bool mayHaveRun = false; ///< an earlier send ended without proof that it did not run
-    unsigned misses = 0; ///< sends that never left, as no connection opened in time
-    unsigned absences = 0; ///< sends that never left, as nobody listens at the upstream's address
+    unsigned connectFailures = 0; ///< sends that never left, as no connection opened in time
+    unsigned connectRefusals =
+        0; ///< sends that never left, as nobody listens at the upstream's address
     bool retryLeft = false; ///< the retry budget has one more
     bool timeLeft = false; ///< enough for another send to be of use
-    bool othersLeft = false; ///< an upstream that was not tried is there
+    bool upstreamsLeft = false; ///< an upstream that was not tried is there
 };
 
 enum class ForwardStep : std::uint8_t {
     Deliver, ///< give the caller the upstream's answer
-    SendAgain, ///< from the start, or after the last event delivered
+    Retry, ///< from the start, or after the last event delivered
     Refuse, ///< tell the caller that it did not run, and when to come back
     Fail, ///< tell the caller that it may have run
-    Cut ///< end the connection so that the answer cannot look whole
+    Abort ///< end the connection so that the answer cannot look whole
 };
 
 /// A step with the reason that goes into logs and counters.
@@ -60,15 +61,15 @@
 };
 
 /// Decides what follows a send. Pure.
-ForwardDecision afterSend(SendEnd end, const ForwardState &state);
+ForwardDecision nextStep(SendResult end, const ForwardState &state);
 
 /// The most sends that never left before a call is refused: each may cost the caller the whole
 /// limit of a connection attempt.
-inline constexpr unsigned mostMisses = 4;
+inline constexpr unsigned maxConnectFailures = 4;
 
 /// The same where nobody listened, which shows in one round trip. After some upstreams ended at
 /// once, the registry names them for seconds: with a bound of 4 a call was refused although 12 of
 /// 16 upstreams would have served it.
-inline constexpr unsigned mostAbsences = 16;
+inline constexpr unsigned maxConnectRefusals = 16;
 
 } // namespace reachlead
--- a/src/include/reachlead/http.h
+++ b/src/include/reachlead/http.h
@@ -34,7 +34,7 @@
 };
 
 /// A request without streaming.
-struct HttpAsk
+struct HttpRequest
 {
     std::string method = "GET";
     std::string path = "/";
@@ -46,11 +46,11 @@
     /// The path without its query.
     std::string_view pathOnly() const;
     /// The value of a query parameter, percent-decoded; empty when absent.
-    std::string query(std::string_view name) const;
+    std::string queryParameter(std::string_view name) const;
 };
 
 /// An answer without streaming.
-struct HttpReply
+struct HttpResponse
 {
     unsigned status = 200;
     std::vector<Header> headers;
@@ -62,16 +62,16 @@
 
 /// Makes one call on a connection of its own. Empty with \p reason set when no whole answer came
 /// within \p limit of real time; \p progress then says how far it got.
-boost::asio::awaitable<std::optional<HttpReply>> httpCall(Endpoint to, HttpAsk ask, Duration limit,
-                                                          std::string *reason,
-                                                          CallProgress *progress = nullptr);
+boost::asio::awaitable<std::optional<HttpResponse>> httpCall(Endpoint to, HttpRequest ask,
+                                                             Duration limit, std::string *reason,
+                                                             CallProgress *progress = nullptr);
 
 /// The decimal number that is the whole \p text; nothing for any other text.
-std::optional<double> readDecimal(std::string_view text);
+std::optional<double> parseDecimal(std::string_view text);
 
 /// The time that a refusal (429, 503) asks for in Retry-After, in seconds and parts of one
 /// (RFC 9110, 10.2.3, has whole ones). Nothing for other statuses, and for a date.
-std::optional<Duration> retryAfterOf(unsigned status, std::string_view retryAfter);
+std::optional<Duration> parseRetryAfter(unsigned status, std::string_view retryAfter);
 
 /// Percent-encodes a query value.
 std::string encodeQuery(std::string_view text);
@@ -80,7 +80,7 @@
 class HttpServer
 {
 public:
-    using Handler = std::function<boost::asio::awaitable<HttpReply>(HttpAsk)>;
+    using Handler = std::function<boost::asio::awaitable<HttpResponse>(HttpRequest)>;
 
     /// Listens at once; throws boost::system::system_error when it cannot.
     HttpServer(boost::asio::io_context &io, const Endpoint &at, Handler handler);
--- a/src/include/reachlead/inifile.h
+++ b/src/include/reachlead/inifile.h
@@ -62,7 +62,7 @@
     /// A duration with its unit: `250ms`, `2s` or `5m`.
     IniReader &takeDuration(std::string_view key, Duration low, Duration high, Duration *out);
     /// One of the listed words; the index of the word goes to \p out.
-    IniReader &takeWord(std::string_view key, const std::vector<std::string_view> &words,
+    IniReader &takeEnum(std::string_view key, const std::vector<std::string_view> &words,
                         std::size_t *out);
     /// A list of words with commas between.
     IniReader &takeList(std::string_view key, std::vector<std::string> *out);
--- a/src/include/reachlead/latency.h
+++ b/src/include/reachlead/latency.h
@@ -18,7 +18,7 @@
 namespace reachlead {
 
 /// What is timed.
-enum class Timed : std::uint8_t {
+enum class LatencyKind : std::uint8_t {
     FirstByte, ///< from a whole request to the first byte of its answer
     Whole, ///< from a whole request to the end of its answer
     Connect, ///< opening a connection to an upstream
@@ -27,25 +27,25 @@
 
 /// One histogram for each timed thing, on a logarithmic axis from 1 ms to 100 s. Not thread-safe:
 /// the traffic thread writes, and makes the page.
-class Latencies
+class LatencyHistograms
 {
 public:
-    Latencies();
+    LatencyHistograms();
 
-    void note(Timed what, Duration d);
+    void recordLatency(LatencyKind what, Duration d);
 
     /// The histograms in the Prometheus text format.
-    std::string page() const;
+    std::string prometheusText() const;
 
     /// An upper bound of the quantile \p q (0 … 1) in ms; 0 without samples.
-    double quantile(Timed what, double q) const;
+    double quantile(LatencyKind what, double q) const;
 
 private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     using Histogram = decltype(boost::histogram::make_histogram(std::declval<Axis>()));
 
-    std::array<Histogram, static_cast<std::size_t>(Timed::Size)> m_histograms;
-    std::array<double, static_cast<std::size_t>(Timed::Size)> m_sums{};
+    std::array<Histogram, static_cast<std::size_t>(LatencyKind::Size)> m_histograms;
+    std::array<double, static_cast<std::size_t>(LatencyKind::Size)> m_sums{};
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/leavingupstreams.h
+++ b/src/include/reachlead/leavingupstreams.h
@@ -37,7 +37,7 @@
     std::vector<UpstreamId> recent(Time now) const;
 
     /// Drops those that are neither young nor \p isRegistered.
-    void forgetOld(Time now, const std::function<bool(const UpstreamId &)> &isRegistered);
+    void dropExpired(Time now, const std::function<bool(const UpstreamId &)> &isRegistered);
 
 private:
     std::map<UpstreamId, Time> m_since;
--- a/src/include/reachlead/lengthestimate.h
+++ b/src/include/reachlead/lengthestimate.h
@@ -34,7 +34,7 @@
     double value() const { return m_value; }
 
     /// True once enough answers were seen to decide by the estimate.
-    bool known() const { return m_learned >= enough; }
+    bool hasEnoughSamples() const { return m_learned >= enough; }
 
 private:
     static constexpr unsigned enough = 20;
--- a/src/include/reachlead/logwriter.h
+++ b/src/include/reachlead/logwriter.h
@@ -55,9 +55,9 @@
     /// Lines dropped so far.
     std::uint64_t dropped() const;
 
-    static constexpr std::size_t mostWaiting = 512U << 10U; ///< bytes in the buffer
+    static constexpr std::size_t maxBufferedBytes = 512U << 10U; ///< bytes in the buffer
     /// Lines are gathered this long, as each write wakes a thread and makes a system call.
-    static constexpr std::chrono::milliseconds gatherTime{200};
+    static constexpr std::chrono::milliseconds flushInterval{200};
 
 private:
     void run();
--- a/src/include/reachlead/messages.h
+++ b/src/include/reachlead/messages.h
@@ -23,7 +23,7 @@
 inline constexpr std::uint32_t protocolVersion = 4;
 
 /// The largest frame either side takes, in bytes.
-inline constexpr std::size_t largestFrame = 2U << 20U;
+inline constexpr std::size_t maxFrameBytes = 2U << 20U;
 
 /// One HTTP header of a call that is passed on.
 struct Header
@@ -46,7 +46,7 @@
 };
 
 /// The content by which a request is known again, at routers and agents alike. Refers to \p call.
-inline RequestContent contentOf(const AccountName &account, const Call &call)
+inline RequestContent requestContent(const AccountName &account, const Call &call)
 {
     return {account, {}, call.path, call.body};
 }
@@ -58,7 +58,7 @@
     std::uint32_t window = 0; ///< requests it would run at once
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    std::uint32_t yours = 0; ///< of running and queued, those of the router told
+    std::uint32_t recipientRequests = 0; ///< of running and queued, those of the router told
     std::uint32_t tokenGapMicros = 0; ///< measured time between tokens of one answer; 0: not yet
     bool leaving = false;
     /// Running attempts of each tier that a request of a higher tier may take the place of.
@@ -68,7 +68,8 @@
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(sequence, window, running, queued, yours, tokenGapMicros, leaving, preemptible);
+        ar(sequence, window, running, queued, recipientRequests, tokenGapMicros, leaving,
+           preemptible);
     }
 };
 
@@ -137,14 +138,18 @@
 };
 
 /// Asks what became of an attempt sent on an earlier session, and takes its answer up again.
-struct Query
+struct AttemptQuery
 {
     RequestId id;
     Attempt attempt = 0;
-    std::uint64_t have = 0; ///< tokens of the answer the router holds, counted from token 0
+    std::uint64_t receivedTokens =
+        0; ///< tokens of the answer the router holds, counted from token 0
     std::uint64_t credit = 0;
 
-    template <class Archive> void serialize(Archive &ar) { ar(id, attempt, have, credit); }
+    template <class Archive> void serialize(Archive &ar)
+    {
+        ar(id, attempt, receivedTokens, credit);
+    }
 };
 
 /// Tells an agent that the membership list has it as leaving: it may not have been told itself.
@@ -155,7 +160,7 @@
     template <class Archive> void serialize(Archive &ar) { ar(leaving); }
 };
 
-using ToAgent = std::variant<Hello, Dispatch, Cancel, Credit, Query, Leaving>;
+using ToAgent = std::variant<Hello, Dispatch, Cancel, Credit, AttemptQuery, Leaving>;
 
 // ---- agent → router ---------------------------------------------------------------------
 
@@ -217,7 +222,7 @@
 };
 
 /// The last frame of an attempt that started.
-struct End
+struct AttemptResult
 {
     RequestId id;
     Attempt attempt = 0;
@@ -238,17 +243,17 @@
 
 /// What the agent knows of an attempt that a router asked about.
 enum class AttemptState : std::uint8_t {
-    NeverSeen, ///< proof that it was not run: nothing of the older session can still arrive
+    NeverReceived, ///< proof that it was not run: nothing of the older session can still arrive
     Held, ///< running or finished; its frames follow
-    Forgotten ///< it may have run, but its record was dropped
+    Evicted ///< it may have run, but its record was dropped
 };
 
 /// Answers Query.
-struct QueryReply
+struct AttemptQueryReply
 {
     RequestId id;
     Attempt attempt = 0;
-    AttemptState state = AttemptState::NeverSeen;
+    AttemptState state = AttemptState::NeverReceived;
 
     template <class Archive> void serialize(Archive &ar) { ar(id, attempt, state); }
 };
@@ -262,16 +267,17 @@
 };
 
 /// The upstream's process ended under a request, whichever router it came from.
-struct UpstreamLoss
+struct UpstreamCrash
 {
     RequestDigest request;
-    std::uint64_t life = 0; ///< numbers the upstream's lives that this agent saw end, from 1
+    std::uint64_t upstreamIncarnation =
+        0; ///< numbers the upstream's lives that this agent saw end, from 1
 
-    template <class Archive> void serialize(Archive &ar) { ar(request, life); }
+    template <class Archive> void serialize(Archive &ar) { ar(request, upstreamIncarnation); }
 };
 
-using ToRouter = std::variant<Challenge, Welcome, Refused, Started, Chunk, End, QueryReply,
-                              LoadReport, UpstreamLoss>;
+using ToRouter = std::variant<Challenge, Welcome, Refused, Started, Chunk, AttemptResult,
+                              AttemptQueryReply, LoadReport, UpstreamCrash>;
 
 /// The datagram an agent sends to each router that holds a session. Datagrams may be lost,
 /// doubled or late; the sequence lets the router drop the older.
--- a/src/include/reachlead/openasks.h
+++ b/src/include/reachlead/pendingqueries.h
@@ -11,8 +11,8 @@
 #include <set>
 
 #include <reachlead/placementgroups.h>
-#include <reachlead/silentgateways.h>
-#include <reachlead/upstreambook.h>
+#include <reachlead/unresponsivegateways.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -21,10 +21,10 @@
 /// Nobody is relied on: a gateway that did not answer is passed over for a while, and the next in
 /// rank is asked. So for moments two gateways may place for one group, which only makes their
 /// choices worse.
-class OpenAsks
+class PendingQueries
 {
 public:
-    explicit OpenAsks(VmName self) : m_self(std::move(self)) { }
+    explicit PendingQueries(VmName self) : m_self(std::move(self)) { }
 
     /// The gateway to ask for a group, of the \p strong ones, or of \p all if these are silent; it
     /// may be this one.
@@ -32,27 +32,27 @@
                         const std::set<VmName> &all, Time now) const;
 
     /// A question is asked of \p scheduler; its number.
-    AskNumber open(const VmName &scheduler);
+    QueryId open(const VmName &scheduler);
 
     /// An answer came, in time or not. False for a question that is not open any more.
-    bool answered(AskNumber number, const VmName &scheduler);
+    bool replyReceived(QueryId number, const VmName &scheduler);
 
     /// The question's outcome is in this gateway's own load, or will never be.
-    void conclude(AskNumber number) { m_open.erase(number); }
+    void conclude(QueryId number) { m_open.erase(number); }
 
     /// No answer came in time, or the scheduler declined.
-    void missed(AskNumber number, Time now);
+    void queryFailed(QueryId number, Time now);
 
     /// All questions before this one are concluded.
-    AskNumber openFrom() const;
+    QueryId oldestPendingQuery() const;
 
-    std::size_t openCount() const { return m_open.size(); }
+    std::size_t pendingCount() const { return m_open.size(); }
 
 private:
     VmName m_self;
-    AskNumber m_last = 0;
-    std::map<AskNumber, VmName> m_open;
-    SilentGateways m_silent;
+    QueryId m_last = 0;
+    std::map<QueryId, VmName> m_open;
+    UnresponsiveGateways m_silent;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/placement.h
+++ b/src/include/reachlead/placement.h
@@ -36,7 +36,7 @@
     virtual ~Placement() = default;
 
     /// The index of the chosen candidate; none when the span is empty.
-    virtual std::optional<std::size_t> choose(std::span<const Candidate> candidates,
+    virtual std::optional<std::size_t> select(std::span<const Candidate> candidates,
                                               Random &random) = 0;
 };
 
--- a/src/include/reachlead/placementgroups.h
+++ b/src/include/reachlead/placementgroups.h
@@ -50,15 +50,16 @@
 
     /// The group that a call belongs to: that of the upstream that all gateways prefer for the last
     /// shared part of its prompt. Nothing while the service has no upstream.
-    std::optional<GroupName> groupOf(const ServiceName &service, std::span<const KeyedPart> prompt,
-                                     const UpstreamDirectory &directory);
+    std::optional<GroupName> findGroup(const ServiceName &service,
+                                       std::span<const KeyedPart> prompt,
+                                       const UpstreamDirectory &directory);
 
     /// The upstreams of a group; empty for one that does not exist.
-    const std::set<UpstreamId> &membersOf(const GroupName &group,
-                                          const UpstreamDirectory &directory);
+    const std::set<UpstreamId> &groupMembers(const GroupName &group,
+                                             const UpstreamDirectory &directory);
 
     /// The group of an upstream; nothing for one that takes no work.
-    std::optional<GroupName> groupOf(const UpstreamId &id, const UpstreamDirectory &directory);
+    std::optional<GroupName> findGroup(const UpstreamId &id, const UpstreamDirectory &directory);
 
 private:
     void refresh(const UpstreamDirectory &directory);
@@ -76,11 +77,11 @@
 /// core it waits behind calls: with 24 such VMs of 30, 0.69 of the calls of a day of bursts were
 /// served where gateways of any share placed, 0.80 with this and RefusalOrder, processor time
 /// charged.
-std::set<VmName> strongestOf(const std::map<VmName, MilliCores> &gateways);
+std::set<VmName> strongGateways(const std::map<VmName, MilliCores> &gateways);
 
 /// The gateway that places for a group: the first of those in question by a hash over its name and
 /// the group's (rendezvous hashing), so that a gateway that comes or goes moves only its own
 /// groups. None among none.
-std::optional<VmName> schedulerOf(const GroupName &group, const std::set<VmName> &among);
+std::optional<VmName> electScheduler(const GroupName &group, const std::set<VmName> &among);
 
 } // namespace reachlead
--- a/src/include/reachlead/platform.h
+++ b/src/include/reachlead/platform.h
@@ -35,14 +35,14 @@
     Ok,
     NotFound,
     Conflict, ///< a conditional update met another version; nothing changed
-    Down, ///< the call was not taken, or nothing is known of a read
-    Lost ///< a write may or may not have taken effect: read back before doing anything
+    Unavailable, ///< the call was not taken, or nothing is known of a read
+    Indeterminate ///< a write may or may not have taken effect: read back before doing anything
 };
 
 /// The answer to a call.
 struct PlatformReply
 {
-    PlatformStatus status = PlatformStatus::Down;
+    PlatformStatus status = PlatformStatus::Unavailable;
     ObjectVersion version{}; ///< of the object, or of the whole store for lists and watches
     std::vector<PlatformObject> objects;
     std::string reason; ///< for people, when status is not Ok
--- a/src/include/reachlead/promptcache.h
+++ b/src/include/reachlead/promptcache.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include <reachlead/clock.h>
-#include <reachlead/dialect.h>
+#include <reachlead/headercodec.h>
 
 namespace reachlead {
 
@@ -30,7 +30,7 @@
 };
 
 /// A part of a prompt was placed on an upstream.
-struct PromptNote
+struct PromptHint
 {
     UpstreamId upstream;
     PromptKey key = 0;
@@ -52,7 +52,7 @@
 
     /// A prompt with this part was sent; the part counts as cached from now on, and is read by
     /// \p readyAt. True when it is new; one that is known is ready when it was said first.
-    bool note(PromptKey key, Time readyAt);
+    bool insert(PromptKey key, Time readyAt);
 
     /// When a part is believed to be read; nothing when it is not cached.
     std::optional<Time> readyAt(PromptKey key) const;
@@ -63,7 +63,7 @@
     std::size_t size() const { return m_order.size(); }
 
     /// Parts remembered for one upstream: about 100 bytes each, so 13 upstreams take 1 MB.
-    static constexpr std::size_t mostParts = 800;
+    static constexpr std::size_t maxParts = 800;
 
 private:
     struct Held
--- a/src/include/reachlead/refusalorder.h
+++ b/src/include/reachlead/refusalorder.h
@@ -32,7 +32,8 @@
     void refused(const ServiceName &service, unsigned rank, Time now);
 
     /// How long a call is to be refused because more urgent ones were; nothing: it may be placed.
-    std::optional<Duration> holdOf(const ServiceName &service, unsigned rank, Time now) const;
+    std::optional<Duration> remainingHold(const ServiceName &service, unsigned rank,
+                                          Time now) const;
 
     /// A call of this rank was placed.
     void placed(const ServiceName &service, unsigned rank, Time now);
--- a/src/include/reachlead/requestdigest.h
+++ b/src/include/reachlead/requestdigest.h
@@ -23,14 +23,14 @@
 {
     /// A fast hash of path and body: tells most other requests apart before the proof is made,
     /// which takes some twenty times as long.
-    std::uint64_t mark = 0;
+    std::uint64_t fastHash = 0;
     /// A part of a cryptographic hash of all: accounts do not trust each other, and none can make a
     /// request that counts as another one's.
-    std::uint64_t proof = 0;
+    std::uint64_t secureHash = 0;
 
     auto operator<=>(const RequestDigest &) const = default;
 
-    template <class Archive> void serialize(Archive &ar) { ar(mark, proof); }
+    template <class Archive> void serialize(Archive &ar) { ar(fastHash, secureHash); }
 };
 
 /// What a digest covers. The method is left out: an upstream is handed the same work by it.
@@ -42,10 +42,10 @@
     std::string_view body;
 };
 
-RequestDigest digestOf(const RequestContent &content);
+RequestDigest computeDigest(const RequestContent &content);
 
 /// RequestDigest::mark alone.
-std::uint64_t markOf(const RequestContent &content);
+std::uint64_t computeFastHash(const RequestContent &content);
 
 /// 32 hex digits, as logs and the platform's store have it.
 std::string toString(const RequestDigest &digest);
@@ -59,6 +59,6 @@
 {
     std::size_t operator()(const reachlead::RequestDigest &digest) const noexcept
     {
-        return digest.mark;
+        return digest.fastHash;
     }
 };
--- a/src/include/reachlead/requestqueue.h
+++ b/src/include/reachlead/requestqueue.h
@@ -62,7 +62,7 @@
     virtual std::size_t size() const = 0;
 
     /// The number of requests that wait at \p tier or above.
-    virtual std::size_t ahead(Tier tier) const = 0;
+    virtual std::size_t sizeAtOrAbove(Tier tier) const = 0;
 
     /// The number of requests of one class and account that wait.
     virtual std::size_t waiting(const ClassName &cls, const AccountName &account) const = 0;
--- a/src/include/reachlead/retrybudget.h
+++ b/src/include/reachlead/retrybudget.h
@@ -16,10 +16,10 @@
 class RetryBudget
 {
 public:
-    static constexpr double earnedPerTry = 0.1; ///< retries earned by each first try
-    static constexpr double most = 20.0; ///< retries that can be saved up
+    static constexpr double retriesPerRequest = 0.1; ///< retries earned by each first try
+    static constexpr double maxSavedRetries = 20.0; ///< retries that can be saved up
 
-    void firstTry() { m_saved = std::min(most, m_saved + earnedPerTry); }
+    void recordFirstAttempt() { m_saved = std::min(maxSavedRetries, m_saved + retriesPerRequest); }
 
     /// Takes one retry; false when none is left.
     bool take()
@@ -31,12 +31,12 @@
     }
 
 private:
-    double m_saved = most / 2;
+    double m_saved = maxSavedRetries / 2;
 };
 
 /// The longest pause before retry \p n (1 is the first); the pause itself is drawn evenly between
 /// zero and this (full jitter).
-inline Duration retryPause(unsigned n)
+inline Duration maxRetryBackoff(unsigned n)
 {
     constexpr Duration base = milliseconds(20);
     constexpr unsigned mostDoublings = 6;
--- a/src/include/reachlead/retryshare.h
+++ b/src/include/reachlead/retryshare.h
@@ -27,7 +27,7 @@
 /// Counts first sends and repeats in a sliding window. Not thread-safe, reads no clock.
 ///
 /// Gateways do not ask each other: each takes the ratio on its own first sends, and its equal part
-/// of the slack. Both are used up to safetyPart, as a window of the whole fleet does not begin
+/// of the slack. Both are used up to safetyFactor, as a window of the whole fleet does not begin
 /// when this gateway's does.
 class RetryShare
 {
@@ -35,18 +35,18 @@
     explicit RetryShare(RetryBounds bounds = {}) : m_bounds(bounds) { }
 
     /// How many gateways there are, this one included.
-    void setGateways(std::size_t n) { m_gateways = n == 0 ? 1 : n; }
+    void setGatewayCount(std::size_t n) { m_gateways = n == 0 ? 1 : n; }
 
     /// A call was sent to its first upstream.
-    void first(const ServiceName &service, Time now);
+    void recordFirstSend(const ServiceName &service, Time now);
 
     /// Takes one repeat; false when the share is used up.
     bool take(const ServiceName &service, Time now);
 
     /// Repeats still to be had.
-    double left(const ServiceName &service, Time now);
+    double remaining(const ServiceName &service, Time now);
 
-    static constexpr double safetyPart = 0.75;
+    static constexpr double safetyFactor = 0.75;
 
 private:
     /// Sends in a span of the window; spans bound the memory whatever the rate.
--- a/src/include/reachlead/ring.h
+++ b/src/include/reachlead/ringbuffer.h
@@ -22,11 +22,11 @@
 /// The consumer is woken through a callback (usually a post to its io_context) once for any
 /// number of messages that wait. A full ring refuses the push; the producer decides what that
 /// means, and sizes the ring so that only bounded, per-request traffic meets it.
-template <class T> class Ring
+template <class T> class RingBuffer
 {
 public:
     /// A ring of at most \p capacity messages; \p wake is called from the producer's thread.
-    Ring(std::size_t capacity, std::function<void()> wake)
+    RingBuffer(std::size_t capacity, std::function<void()> wake)
         : m_items(capacity), m_wake(std::move(wake))
     { }
 
--- a/src/include/reachlead/rosterduty.h
+++ b/src/include/reachlead/rosterpublisher.h
@@ -25,25 +25,26 @@
 /// which a fleet starts, and stayed for ever when its VM was gone. One list that those on watch
 /// write, of whom they hear, costs a few calls whatever the size of the fleet. Nothing is agreed:
 /// who hears less adds to what is there, so two writers that know different gateways end with all.
-class RosterDuty
+class RosterPublisher
 {
 public:
     /// Between looks whether the roster differs.
-    static constexpr Duration lookInterval = seconds(1);
+    static constexpr Duration checkInterval = seconds(1);
     /// A watcher waits this long for each one before it, and as long itself for what comes
     /// together.
-    static constexpr Duration perRank = seconds(1);
+    static constexpr Duration delayPerPosition = seconds(1);
     /// Between two writes: gateways that start one after the other are told together.
-    static constexpr Duration writePause = seconds(3);
+    static constexpr Duration minWriteInterval = seconds(3);
     /// Silence after which a gateway is taken off: longer than restarts and cuts last as a rule.
     static constexpr Duration removeAfter = seconds(30);
 
     /// True when due() is to be asked.
-    bool isLookDue(Time now) const { return !m_lookedAt || *m_lookedAt + lookInterval <= now; }
+    bool isCheckDue(Time now) const { return !m_lookedAt || *m_lookedAt + checkInterval <= now; }
 
     /// What is to be written now; nothing when \p known will do. \p live are the gateways that were
     /// heard, this one included; \p rank is its place among those that watch.
-    std::optional<Roster> due(const Roster &known, const Roster &live, std::size_t rank, Time now);
+    std::optional<Roster> rosterToWrite(const Roster &known, const Roster &live, std::size_t rank,
+                                        Time now);
 
 private:
     Roster wanted(const Roster &known, const Roster &live, Time now);
--- a/src/include/reachlead/routercore.h
+++ b/src/include/reachlead/routercore.h
@@ -22,12 +22,12 @@
 #include <reachlead/accountlimiter.h>
 #include <reachlead/circuit.h>
 #include <reachlead/counters.h>
-#include <reachlead/crashbook.h>
+#include <reachlead/crashtracker.h>
 #include <reachlead/lengthestimate.h>
 #include <reachlead/messages.h>
 #include <reachlead/placement.h>
 #include <reachlead/policy.h>
-#include <reachlead/requestlife.h>
+#include <reachlead/requestlifecycle.h>
 #include <reachlead/requestqueue.h>
 #include <reachlead/retrybudget.h>
 
@@ -40,7 +40,7 @@
     AccountName account;
     ClassName cls;
     TargetName target;
-    bool model = true; ///< answered by a token stream; else a plain service's call
+    bool isModel = true; ///< answered by a token stream; else a plain service's call
     bool repeatable = true;
     std::string idempotencyKey; ///< empty: none
     Call call;
@@ -53,23 +53,23 @@
     std::string text;
     std::uint64_t tokens = 0;
 };
-struct AnswerWhole
+struct ServiceResponse
 {
     unsigned status = 200;
     std::vector<Header> headers;
     std::string body;
 };
 /// The last word on a request. Kind None: the whole answer was given.
-struct AnswerEnd
+struct AnswerResult
 {
     ErrorKind kind = ErrorKind::None;
     Outcome outcome = Outcome::NotRun;
     std::string reason;
     std::uint64_t tokens = 0;
 };
-using CallerEvent = std::variant<AnswerText, AnswerWhole, AnswerEnd>;
+using CallerEvent = std::variant<AnswerText, ServiceResponse, AnswerResult>;
 
-struct TellCaller
+struct SendToCaller
 {
     RequestId id;
     CallerEvent event;
@@ -85,7 +85,7 @@
     VmName agent;
     std::string reason;
 };
-using RouterAction = std::variant<TellCaller, SendToAgent, DropSession>;
+using RouterAction = std::variant<SendToCaller, SendToAgent, DropSession>;
 
 /// The choices that can be exchanged for baselines.
 struct RouterStrategy
@@ -95,7 +95,7 @@
     bool earlyRefusal = true; ///< refuse at arrival what is predicted to be late
     bool dropLate = true; ///< obey `late = drop`
     bool lateBinding = true; ///< send only what the agent has room for
-    bool tellTier = true; ///< let agents and engines order by tier
+    bool sendTier = true; ///< let agents and engines order by tier
 };
 
 /// The times and bounds of a router.
@@ -104,12 +104,12 @@
     Duration recoveryWait = seconds(5); ///< wait for an agent to come back, then `unknown`
     Duration repeatableWait = milliseconds(500); ///< the same where the request may be repeated
     Duration heartbeatLimit = seconds(3); ///< silence after which a session is given up
-    Duration longestOpen = seconds(600); ///< bound on a request whose class delivers late
+    Duration maxOpenTime = seconds(600); ///< bound on a request whose class delivers late
     Duration upstreamWait = seconds(2); ///< queueing while no agent of the target is up
-    unsigned mostAttempts = 8; ///< that failed, or found no room
-    unsigned mostPreemptions = 3; ///< of one request; then it keeps its place
+    unsigned maxDispatchAttempts = 8; ///< that failed, or found no room
+    unsigned maxPreemptions = 3; ///< of one request; then it keeps its place
     std::uint64_t creditTokens = 256; ///< tokens an agent may be ahead of the caller
-    std::size_t longestKeptText = 1U << 20U; ///< bytes of an answer kept for a resume
+    std::size_t maxResumeTextBytes = 1U << 20U; ///< bytes of an answer kept for a resume
 };
 
 /// What a router knows of one agent.
@@ -121,16 +121,16 @@
     bool up = false;
     bool leaving = false;
     Load load;
-    std::size_t mine = 0; ///< requests of this router it holds
+    std::size_t localRequests = 0; ///< requests of this router it holds
     std::string circuit;
 };
 
 /// A candidate as `route --explain` shows it.
-struct RouteView
+struct RouteCandidate
 {
     AgentStatus agent;
     double cost = 0;
-    std::string ruledOut; ///< empty: may be chosen
+    std::string exclusionReason; ///< empty: may be chosen
 };
 
 class RouterCore
@@ -167,32 +167,32 @@
     // ---- callers ----
 
     /// A request arrived. The final word may come at once.
-    void arrive(CallerRequest request, Time now);
+    void submitRequest(CallerRequest request, Time now);
     /// The caller went away; the request is stopped all the way down.
-    void callerGone(const RequestId &id, Time now);
+    void callerDisconnected(const RequestId &id, Time now);
     /// The caller took \p tokens of its answer.
-    void callerTook(const RequestId &id, std::uint64_t tokens);
+    void callerConsumed(const RequestId &id, std::uint64_t tokens);
 
     // ---- agents ----
 
     /// A session to an agent stands.
-    void agentUp(const Welcome &welcome, Time now);
+    void agentConnected(const Welcome &welcome, Time now);
     /// A session ended; what it carried is in doubt until the agent is asked.
-    void agentDown(const VmName &agent, Time now);
+    void agentDisconnected(const VmName &agent, Time now);
     /// A message came on the agent's present session.
     void agentMessage(const VmName &agent, const ToRouter &message, Time now);
     /// A datagram came from the agent.
     void heartbeat(const Heartbeat &beat, Time now);
     /// The membership list says whether the agent is leaving.
-    void membership(const VmName &agent, bool leaving, Time now);
+    void setAgentLeaving(const VmName &agent, bool leaving, Time now);
     /// The agent is in no list any more.
-    void forgetAgent(const VmName &agent, Time now);
+    void removeAgent(const VmName &agent, Time now);
 
     // ---- the rest ----
 
     void setPolicies(const PoliciesPtr &policies);
     /// This router's part of the accounts' limits.
-    void setLimitPart(double part);
+    void setAccountLimitShare(double part);
     /// Refuses new requests from now on; those accepted go on.
     void stop();
     /// Does what the passing of time brings; to be called every few milliseconds.
@@ -208,7 +208,7 @@
     std::size_t requestsAt(const VmName &agent) const;
     std::vector<AgentStatus> agents() const;
     /// Why a request for \p target would go where it goes.
-    std::vector<RouteView> explain(const TargetName &target, Time now);
+    std::vector<RouteCandidate> explain(const TargetName &target, Time now);
     /// The targets some agent serves.
     std::vector<TargetName> targets() const;
 
@@ -232,7 +232,7 @@
     std::vector<Candidate> candidates(const Target &target, Time now, std::vector<Agent *> *agents);
     Candidate candidateOf(const Agent &agent, double medianGap) const;
     static Agent *agentOfKey(const CallerRequest &ask, const std::vector<Agent *> &agents);
-    std::string ruledOut(Agent &agent, Time now) const;
+    std::string exclusionReason(Agent &agent, Time now) const;
     bool hasRoom(const Agent &agent, std::optional<Tier> tier) const;
     double medianGap(const Target &target) const;
     void expire(Time now);
@@ -253,22 +253,22 @@
     void handle(Agent &agent, const Refused &message, Time now);
     void handle(Agent &agent, const Started &message, Time now);
     void handle(Agent &agent, const Chunk &message, Time now);
-    void handle(Agent &agent, const End &message, Time now);
-    void handle(Agent &agent, const QueryReply &message, Time now);
+    void handle(Agent &agent, const AttemptResult &message, Time now);
+    void handle(Agent &agent, const AttemptQueryReply &message, Time now);
     void handle(Agent &agent, const LoadReport &message, Time now);
-    void handle(Agent &agent, const UpstreamLoss &message, Time now);
+    void handle(Agent &agent, const UpstreamCrash &message, Time now);
     void handle(Agent &agent, const Welcome &message, Time now);
     void handle(Agent &agent, const Challenge &message, Time now);
     Request *current(const Agent &agent, const RequestId &id, Attempt attempt);
-    void finishWhole(Request &request, const End &message, Time now);
+    void finishWhole(Request &request, const AttemptResult &message, Time now);
     void attemptFailed(Request &request, ErrorKind kind, Outcome outcome, const std::string &reason,
                        Time now);
     ErrorKind retryRefusal(Request &request, ErrorKind kind, Outcome outcome, Time now);
     void putBack(Request &request, ErrorKind kind, Time now);
     void cancelAtAgent(Request &request);
     void unbind(Request &request);
-    void finish(Request &request, AnswerEnd end, Time now);
-    bool apply(Request &request, LifeEvent event);
+    void finish(Request &request, AnswerResult end, Time now);
+    bool apply(Request &request, RequestEvent event);
     void refuse(const RequestId &id, ErrorKind kind, std::string reason);
     bool isQuarantined(const CallerRequest &ask, Time now) const;
 
@@ -286,7 +286,7 @@
     std::unique_ptr<Counters> m_ownCounters;
     PoliciesPtr m_policies;
     AccountLimiter m_limiter;
-    CrashBook m_crashes; ///< by what all agents tell
+    CrashTracker m_crashes; ///< by what all agents tell
     bool m_stopping = false;
 
     std::unordered_map<RequestId, RequestPtr> m_requests;
--- a/src/include/reachlead/routing.h
+++ b/src/include/reachlead/routing.h
@@ -70,10 +70,10 @@
     ServiceName name;
     unsigned maxConnections = 0; ///< of one upstream, from all callers together; 0: not told
     unsigned engineSlots = 0; ///< requests that a model engine runs at once; 0: a plain service
-    std::uint64_t engineMemoryTokens = 0; ///< tokens that an engine's cache holds
+    std::uint64_t engineCacheTokens = 0; ///< tokens that an engine's cache holds
     std::uint64_t engineTokenBytes = 0; ///< of one cached token; 0: caches cannot be copied
     double engineLinkMbps = 0; ///< between engines; 0: caches cannot be copied
-    double coldPerSecond = 0; ///< calls that a cold upstream bears, of all callers; 0: any
+    double coldCallsPerSecond = 0; ///< calls that a cold upstream bears, of all callers; 0: any
 
     /// True when an engine can fetch cached parts from another.
     bool canFetch() const { return engineTokenBytes > 0 && engineLinkMbps > 0; }
@@ -81,8 +81,8 @@
     bool operator==(const ServiceInfo &) const = default;
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(name, maxConnections, engineSlots, engineMemoryTokens, engineTokenBytes, engineLinkMbps,
-           coldPerSecond);
+        ar(name, maxConnections, engineSlots, engineCacheTokens, engineTokenBytes, engineLinkMbps,
+           coldCallsPerSecond);
     }
 };
 
@@ -149,11 +149,11 @@
     const Route *match(std::string_view host, std::string_view path) const;
 
     /// The account that holds \p key; null when none does.
-    const AccountKeys *accountOf(const std::string &key) const;
+    const AccountKeys *accountForKey(const std::string &key) const;
 
     /// How urgent a call is at a model engine: 0 (first) to lowestUrgency. The route's priority
     /// decides; among calls of equal routes the account's does (docs/QUESTIONS.md, question 1).
-    unsigned urgencyOf(const Route &route, const AccountKeys *account) const;
+    unsigned urgencyRank(const Route &route, const AccountKeys *account) const;
 
     /// True when no route to the service goes before this one.
     bool isMostUrgent(const Route &route, const ServiceName &service) const;
--- a/src/include/reachlead/routingdelta.h
+++ b/src/include/reachlead/routingdelta.h
@@ -17,25 +17,25 @@
 /// The way from one configuration to a later one. Items are known by their names.
 struct RoutingDelta
 {
-    std::uint64_t from = 0; ///< version that it starts from
+    std::uint64_t baseVersion = 0; ///< version that it starts from
     std::uint64_t version = 0; ///< version that it leads to
     std::vector<Route> routes; ///< new or changed
-    std::vector<std::string> routesGone;
+    std::vector<std::string> removedRoutes;
     std::vector<ServiceInfo> services; ///< new or changed
-    std::vector<ServiceName> servicesGone;
+    std::vector<ServiceName> removedServices;
     std::vector<AccountKeys> accounts; ///< new or changed
-    std::vector<AccountName> accountsGone;
+    std::vector<AccountName> removedAccounts;
     CallerLimits limits;
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(from, version, routes, routesGone, services, servicesGone, accounts, accountsGone,
-           limits);
+        ar(baseVersion, version, routes, removedRoutes, services, removedServices, accounts,
+           removedAccounts, limits);
     }
 };
 
 /// The difference; nothing when two items of one kind share a name, as it could not be told then.
-std::optional<RoutingDelta> differenceOf(const RoutingConfig &from, const RoutingConfig &to);
+std::optional<RoutingDelta> computeDelta(const RoutingConfig &from, const RoutingConfig &to);
 
 /// The configuration that \p delta leads to; nothing when it starts from another version.
 std::optional<RoutingConfig> applied(const RoutingConfig &base, const RoutingDelta &delta);
--- a/src/include/reachlead/servicepace.h
+++ b/src/include/reachlead/servicerate.h
@@ -14,7 +14,7 @@
 namespace reachlead {
 
 /// What was seen of a service's upstreams in some time.
-struct PaceSample
+struct RateSample
 {
     TokenCount tokens = 0; ///< that engines read until a call's first event, all in front included
     std::uint32_t readMs = 0; ///< that it took them
@@ -22,7 +22,7 @@
     std::uint32_t callMs = 0; ///< that they held a place, summed
 
     bool empty() const { return readMs == 0 && calls == 0; }
-    PaceSample &operator+=(const PaceSample &other);
+    RateSample &operator+=(const RateSample &other);
 
     template <class Archive> void serialize(Archive &ar) { ar(tokens, readMs, calls, callMs); }
 };
@@ -31,13 +31,13 @@
 ///
 /// An engine reads prompts in chunks between the tokens of the streams beside, so its speed follows
 /// its load and its kind; what is taken at first is only where learning begins.
-class ServicePace
+class ServiceRate
 {
 public:
     /// \p tokensPerMs is what engines are taken to read until they were seen.
-    explicit ServicePace(double tokensPerMs) : m_tokensPerMs(tokensPerMs) { }
+    explicit ServiceRate(double tokensPerMs) : m_tokensPerMs(tokensPerMs) { }
 
-    void note(const PaceSample &sample);
+    void note(const RateSample &sample);
 
     /// The time to the first event of a call with \p unread tokens that is sent to an upstream with
     /// \p waiting tokens to be read, \p running calls and \p slots places.
--- a/src/include/reachlead/settingstree.h
+++ b/src/include/reachlead/settingstree.h
@@ -21,7 +21,7 @@
 inline constexpr std::string_view settingsPrefix = "settings/";
 
 /// The largest text of one node, in bytes.
-inline constexpr std::size_t largestNode = 1U << 20U;
+inline constexpr std::size_t maxNodeBytes = 1U << 20U;
 
 /// Texts of nodes by their path below settingsPrefix.
 using SettingsTexts = std::map<std::string, std::string>;
--- a/src/include/reachlead/socketlimits.h
+++ b/src/include/reachlead/sockettimeouts.h
@@ -14,10 +14,10 @@
 
 /// Without an acknowledgement of sent bytes for this long, a connection is given up: a few
 /// retransmissions on links of a few ms.
-inline constexpr Duration unackedLimit = milliseconds(2000);
+inline constexpr Duration ackTimeout = milliseconds(2000);
 
 /// Sends without delay, and has the kernel find a peer that lost power or is cut off: after
-/// unackedLimit with bytes under way, and after about three seconds of silence without.
-void limitSilence(boost::asio::ip::tcp::socket &socket);
+/// ackTimeout with bytes under way, and after about three seconds of silence without.
+void setSocketTimeouts(boost::asio::ip::tcp::socket &socket);
 
 } // namespace reachlead
--- a/src/include/reachlead/silentgateways.h
+++ b/src/include/reachlead/unresponsivegateways.h
@@ -15,25 +15,25 @@
 
 /// Remembers who did not answer, so that only the first call in a while waits for a gateway that
 /// is gone, frozen or cut off. Not thread-safe, reads no clock.
-class SilentGateways
+class UnresponsiveGateways
 {
 public:
     /// How long a gateway is not asked after its first missed answer; doubles with each further
     /// one. A process that was killed is back after some seconds.
-    static constexpr Duration firstPause = seconds(1);
-    static constexpr Duration longestPause = seconds(8);
+    static constexpr Duration initialBackoff = seconds(1);
+    static constexpr Duration maxBackoff = seconds(8);
 
     /// A question was not answered in time, or was declined.
-    void missed(const VmName &vm, Time now);
+    void recordFailure(const VmName &vm, Time now);
 
     /// An answer came, in time or not.
-    void answered(const VmName &vm) { m_silent.erase(vm); }
+    void recordReply(const VmName &vm) { m_silent.erase(vm); }
 
     /// True when any gateway is passed over.
-    bool isAny(Time now) const;
+    bool hasAny(Time now) const;
 
     /// True while the gateway is not to be asked.
-    bool isSilent(const VmName &vm, Time now) const;
+    bool isUnresponsive(const VmName &vm, Time now) const;
 
 private:
     struct Silence
--- a/src/include/reachlead/upstreambackoffs.h
+++ b/src/include/reachlead/upstreambackoffs.h
@@ -23,14 +23,14 @@
 {
 public:
     /// A longer one would take an upstream out of use for good by a slip of its settings.
-    static constexpr Duration longest = std::chrono::hours(1);
+    static constexpr Duration maxBackoff = std::chrono::hours(1);
 
     /// The upstream turned a call away and wants none for \p retryAfter. It never shortens a
     /// backoff: the answers of calls that were under way together come in any order.
-    void asked(const UpstreamId &id, Duration retryAfter, Time now)
+    void add(const UpstreamId &id, Duration retryAfter, Time now)
     {
         Time &until = m_until[id];
-        until = std::max(until, now + std::min(retryAfter, longest));
+        until = std::max(until, now + std::min(retryAfter, maxBackoff));
     }
 
     bool isBackedOff(const UpstreamId &id, Time now) const
@@ -43,7 +43,7 @@
     bool isEmpty() const { return m_until.empty(); }
 
     /// Drops the backoffs that are over.
-    void forgetOld(Time now)
+    void dropExpired(Time now)
     {
         std::erase_if(m_until, [&](const auto &it) { return it.second <= now; });
     }
--- a/src/include/reachlead/upstreamdirectory.h
+++ b/src/include/reachlead/upstreamdirectory.h
@@ -26,8 +26,8 @@
 
 /// Stands for an upstream's id in short messages. Two ids may share one by chance (among 12,000:
 /// one chance in sixty), so it serves only where a mix-up does no harm.
-using UpstreamTagNumber = std::uint32_t;
-UpstreamTagNumber tagOf(const UpstreamId &id);
+using UpstreamHash = std::uint32_t;
+UpstreamHash upstreamHash(const UpstreamId &id);
 
 /// An upstream as its registry entry tells.
 struct UpstreamEntry
@@ -67,17 +67,17 @@
 
 /// What one directory tells another: the registry at a revision, and apart from it what is believed
 /// beyond that.
-struct RegistryNews
+struct RegistryUpdate
 {
     std::uint64_t revision = 0;
     std::uint64_t changesFrom = 0; ///< the asker's revision
     std::vector<UpstreamChange> changes; ///< behind changesFrom
-    std::optional<std::vector<UpstreamEntry>> all; ///< where changes could not be told
+    std::optional<std::vector<UpstreamEntry>> snapshot; ///< where changes could not be told
     std::vector<HeldUpstream> held; ///< not in the registry at that revision
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(revision, changesFrom, changes, all, held);
+        ar(revision, changesFrom, changes, snapshot, held);
     }
 };
 
@@ -85,10 +85,10 @@
 ///
 /// While the registry is away the last entries stay in use. Entries that lapsed meanwhile may come
 /// back soon after its return, so what the registry's first answer after an outage lacks is used
-/// until the end of returnGrace, unless it came back. A removal that is seen later is a departure
-/// and takes effect at once. Held entries are no part of what is told under a revision: an entry
-/// passed on under a later revision than its removal's would be used for 2 s more at each gateway
-/// that hears of it.
+/// until the end of reregistrationGrace, unless it came back. A removal that is seen later is a
+/// departure and takes effect at once. Held entries are no part of what is told under a revision:
+/// an entry passed on under a later revision than its removal's would be used for 2 s more at each
+/// gateway that hears of it.
 ///
 /// An upstream that started again under its name is another upstream: its earlier life is gone at
 /// once and is not held, and a late word of it changes nothing.
@@ -104,26 +104,28 @@
     ~UpstreamDirectory() = default;
 
     /// What changed in the set of usable upstreams.
-    struct Changed
+    struct UsableChanges
     {
         std::vector<UpstreamId> added;
-        std::vector<UpstreamId> left; ///< gone, now leaving, or in a zone now evacuated
+        std::vector<UpstreamId> withdrawn; ///< gone, now leaving, or in a zone now evacuated
     };
 
     /// Time for entries that lapsed with the registry to be written again: upstreams write about
     /// once a second, and the registry's page names two seconds.
-    static constexpr Duration returnGrace = milliseconds(2000);
+    static constexpr Duration reregistrationGrace = milliseconds(2000);
 
     /// Takes the registry's whole list as of \p revision; an older one changes nothing.
-    Changed replaceAll(const std::vector<UpstreamEntry> &entries, std::uint64_t revision, Time now);
+    UsableChanges replaceAll(const std::vector<UpstreamEntry> &entries, std::uint64_t revision,
+                             Time now);
 
     /// Takes the registry's changes up to \p revision; older ones change nothing.
-    Changed apply(const std::vector<UpstreamChange> &changes, std::uint64_t revision, Time now);
+    UsableChanges applyChanges(const std::vector<UpstreamChange> &changes, std::uint64_t revision,
+                               Time now);
 
     /// What a directory at \p revision lacks: changes where they can be told, else all. Nothing is
     /// lacked by one whose digest() is the same: gateways that list a registry at the same time do
     /// so at different revisions, and would else send each other all of it.
-    RegistryNews newsSince(std::uint64_t revision, Time now, std::uint64_t digest = 0) const;
+    RegistryUpdate updateSince(std::uint64_t revision, Time now, std::uint64_t digest = 0) const;
 
     /// A number by which the registry's entries are told apart from others, with the revisions of
     /// their last changes; 0: none.
@@ -131,18 +133,18 @@
 
     /// Takes what another directory tells; older news, and changes from a later revision than this
     /// one's, change nothing.
-    Changed take(const RegistryNews &news, Time now);
+    UsableChanges applyUpdate(const RegistryUpdate &news, Time now);
 
     /// The entries that the registry lacks since an outage and that are still used.
     std::vector<UpstreamId> missing() const;
 
     /// Takes the upstreams of these zones out of use, and takes back those of all others. It is no
     /// change of the registry, and no part of what is told under its revision.
-    Changed setEvacuated(const ZoneSet &zones);
+    UsableChanges setEvacuated(const ZoneSet &zones);
 
     /// Takes an upstream out of use that said in an answer, here or at another gateway, that it
     /// leaves. Like an evacuation, it is no change of the registry.
-    Changed setLeaving(const UpstreamId &id, Time now);
+    UsableChanges setLeaving(const UpstreamId &id, Time now);
     const LeavingUpstreams &leaving() const { return m_leaving; }
 
     /// Whether new work may be sent to an upstream.
@@ -164,7 +166,7 @@
     void regainedContact(Time now);
 
     /// Carries out the removals that were held back and are due, and forgets upstreams that left.
-    Changed expire(Time now);
+    UsableChanges expire(Time now);
 
     const UpstreamEntry *find(const UpstreamId &id) const;
     /// All that are used, held ones included.
@@ -175,21 +177,21 @@
 
     /// The upstreams of a service that take work, in the order of their ids. Valid until the next
     /// change.
-    const std::vector<const UpstreamEntry *> &usableOf(const ServiceName &service) const;
+    const std::vector<const UpstreamEntry *> &usableUpstreams(const ServiceName &service) const;
 
     /// What changed in the registry behind \p revision; nothing when that is too long ago to be
     /// told.
     std::optional<std::vector<UpstreamChange>> changesSince(std::uint64_t revision) const;
 
     /// An upstream by the tag that stands for its id in short messages; null when there is none.
-    const UpstreamEntry *findTag(UpstreamTagNumber tag) const;
+    const UpstreamEntry *findByHash(UpstreamHash tag) const;
 
     /// Changes that are remembered, about 100 bytes each: a day of the largest fleet has some
     /// thousands.
-    static constexpr std::size_t mostLogged = 2000;
+    static constexpr std::size_t maxLoggedChanges = 2000;
 
     /// Rises with each change of the entries.
-    std::uint64_t changes() const { return m_changes; }
+    std::uint64_t changeCount() const { return m_changes; }
 
     /// The registry's revision that the entries stand for; 0: nothing was heard yet.
     std::uint64_t revision() const { return m_revision; }
@@ -207,17 +209,17 @@
 
     bool holdsRemovals(Time now) const { return m_catchesUp && now < m_graceUntil; }
     void jumpTo(std::uint64_t revision);
-    void put(const UpstreamEntry &entry, Changed *changed);
+    void put(const UpstreamEntry &entry, UsableChanges *changed);
     void putAll(const std::vector<UpstreamEntry> &entries, Time now, const HeldUntil &held,
-                Changed *changed);
+                UsableChanges *changed);
     void putChanges(const std::vector<UpstreamChange> &changes, Time now, const HeldUntil &held,
-                    Changed *changed);
+                    UsableChanges *changed);
     void erase(const UpstreamId &id);
     const UpstreamEntry *lifeOf(const std::string &name) const;
-    bool supersedes(const UpstreamEntry &entry, Changed *changed);
+    bool supersedes(const UpstreamEntry &entry, UsableChanges *changed);
     void log(const UpstreamId &id);
     void buildIndex() const;
-    void remove(const UpstreamId &id, Time now, const HeldUntil &held, Changed *changed);
+    void remove(const UpstreamId &id, Time now, const HeldUntil &held, UsableChanges *changed);
     std::optional<Time> heldUntil(const UpstreamEntry &entry, Time now,
                                   const HeldUntil &held) const;
 
@@ -230,7 +232,7 @@
     std::uint64_t m_logFloor = 0; ///< the log is complete behind this revision
     // Built when asked for, at m_indexedAt changes.
     mutable std::map<ServiceName, std::vector<const UpstreamEntry *>> m_usable;
-    mutable std::unordered_map<UpstreamTagNumber, const UpstreamEntry *> m_byTag;
+    mutable std::unordered_map<UpstreamHash, const UpstreamEntry *> m_byTag;
     mutable std::uint64_t m_indexedAt = 0;
     std::uint64_t m_revision = 0;
     bool m_inContact = false;
--- a/src/include/reachlead/upstreamid.h
+++ b/src/include/reachlead/upstreamid.h
@@ -19,17 +19,17 @@
 struct UpstreamId
 {
     std::string text; ///< its name in the registry
-    std::uint64_t born = 0; ///< start of this life, Unix ms; 0: not told
+    std::uint64_t startedAt = 0; ///< start of this life, Unix ms; 0: not told
 
     UpstreamId() = default;
     explicit UpstreamId(std::string name, std::uint64_t start = 0)
-        : text(std::move(name)), born(start)
+        : text(std::move(name)), startedAt(start)
     { }
 
     bool empty() const { return text.empty(); }
     auto operator<=>(const UpstreamId &) const = default;
 
-    template <class Archive> void serialize(Archive &ar) { ar(text, born); }
+    template <class Archive> void serialize(Archive &ar) { ar(text, startedAt); }
 };
 
 } // namespace reachlead
@@ -38,6 +38,6 @@
 {
     std::size_t operator()(const reachlead::UpstreamId &id) const noexcept
     {
-        return std::hash<std::string>{}(id.text) ^ std::hash<std::uint64_t>{}(id.born);
+        return std::hash<std::string>{}(id.text) ^ std::hash<std::uint64_t>{}(id.startedAt);
     }
 };
--- a/src/include/reachlead/upstreamlimits.h
+++ b/src/include/reachlead/upstreamlimits.h
@@ -19,11 +19,11 @@
 namespace reachlead {
 
 /// What an answer of an upstream said of its limit.
-struct LimitNote
+struct LimitUpdate
 {
     UpstreamId upstream;
     std::optional<CallRate> limit; ///< none: it is over
-    UnixMillis stamp = 0; ///< when the answer came, by the fleet's time of day
+    UnixMillis timestamp = 0; ///< when the answer came, by the fleet's time of day
 };
 
 /// The limits of all upstreams that named one lately. Not thread-safe, reads no clock.
@@ -46,24 +46,25 @@
     /// also where a gateway's time of day is ahead.
     static constexpr Duration endSpan = seconds(5);
 
-    /// An answer of the upstream named \p limit, or none; \p stamp as in LimitNote. True when that
-    /// is a change.
-    bool heard(const UpstreamId &id, std::optional<CallRate> limit, Time now, UnixMillis stamp);
+    /// An answer of the upstream named \p limit, or none; \p stamp as in LimitUpdate. True when
+    /// that is a change.
+    bool recordAnswer(const UpstreamId &id, std::optional<CallRate> limit, Time now,
+                      UnixMillis stamp);
 
     /// Another gateway heard this. True when the limit in force changed by it.
-    bool told(const LimitNote &note, Time now);
+    bool applyUpdate(const LimitUpdate &note, Time now);
 
     /// The limit in force.
-    std::optional<CallRate> of(const UpstreamId &id, Time now) const;
+    std::optional<CallRate> currentLimit(const UpstreamId &id, Time now) const;
 
     /// What is to be passed on, ends of limits included.
-    std::vector<LimitNote> recent(Time now) const;
+    std::vector<LimitUpdate> recent(Time now) const;
 
     /// No limit was heard lately.
     bool isEmpty() const { return m_heard.empty(); }
 
     /// Drops what was not heard for forgetAfter.
-    void forgetOld(Time now);
+    void dropExpired(Time now);
 
 private:
     struct Heard
--- a/src/include/reachlead/limitpace.h
+++ b/src/include/reachlead/upstreamratelimiter.h
@@ -18,7 +18,7 @@
 /// The load pattern it answers: a rate that holds for all gateways together, also where each of a
 /// thousand has a call in a thousand. A part that was not used is lost: were it kept, all gateways
 /// could use theirs at once.
-class LimitPace
+class UpstreamRateLimiter
 {
 public:
     /// How long a call may be sent after its moment has come. The longer, the more gateways may
--- a/src/include/reachlead/placementadviser.h
+++ b/src/include/reachlead/upstreamselector.h
@@ -11,27 +11,27 @@
 #include <boost/asio/awaitable.hpp>
 
 #include <reachlead/clock.h>
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
 /// A choice and who made it.
-struct PlacedChoice
+struct PlacementResult
 {
-    std::optional<Choice> choice; ///< none: no upstream takes work, or it is refused
-    std::optional<Duration> comeBack; ///< refused: its engines are too far behind until then
-    VmName by; ///< the gateway that chose
-    Duration took{};
+    std::optional<Selection> selection; ///< none: no upstream takes work, or it is refused
+    std::optional<Duration> retryAfter; ///< refused: its engines are too far behind until then
+    VmName placedBy; ///< the gateway that chose
+    Duration duration{};
 };
 
 /// Chooses upstreams for calls.
-class PlacementAdviser
+class UpstreamSelector
 {
 public:
-    virtual ~PlacementAdviser() = default;
+    virtual ~UpstreamSelector() = default;
 
     /// Always ends within some tens of milliseconds. What \p ask points to must live until then.
-    virtual boost::asio::awaitable<PlacedChoice> choose(ChoiceAsk ask) = 0;
+    virtual boost::asio::awaitable<PlacementResult> select(SelectionQuery ask) = 0;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/usageplatform.h
+++ b/src/include/reachlead/usageplatform.h
@@ -12,12 +12,12 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include <reachlead/usageduty.h>
+#include <reachlead/usagereporter.h>
 
 namespace reachlead {
 
 /// How a call ended.
-enum class UsageEnd : std::uint8_t {
+enum class UsageResult : std::uint8_t {
     Done,
     Conflict, ///< the record has another revision; nothing was done
     Refused, ///< nothing was done
@@ -25,9 +25,9 @@
 };
 
 /// What a call brought.
-struct UsageAnswer
+struct UsageReply
 {
-    UsageEnd end = UsageEnd::Unknown;
+    UsageResult result = UsageResult::Unknown;
     std::optional<StoredUsage> stored; ///< of a read: none when there is no record
     std::uint64_t revision = 0; ///< of a write that was done
     std::string reason; ///< why it was not done
@@ -39,14 +39,14 @@
 public:
     virtual ~UsagePlatform() = default;
 
-    virtual boost::asio::awaitable<UsageAnswer> read() = 0;
+    virtual boost::asio::awaitable<UsageReply> read() = 0;
 
     /// Writes over the record of \p revision; none: only where there is no record.
-    virtual boost::asio::awaitable<UsageAnswer> write(UsageRecord record,
-                                                      std::optional<std::uint64_t> revision) = 0;
+    virtual boost::asio::awaitable<UsageReply> write(UsageRecord record,
+                                                     std::optional<std::uint64_t> revision) = 0;
 
     /// Reports the record's window. After \p limit nothing of it is on its way any more.
-    virtual boost::asio::awaitable<UsageAnswer> send(UsageRecord record, Duration limit) = 0;
+    virtual boost::asio::awaitable<UsageReply> send(UsageRecord record, Duration limit) = 0;
 
     /// Ends all calls.
     virtual void stop() = 0;
--- a/src/include/reachlead/usageduty.h
+++ b/src/include/reachlead/usagereporter.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <optional>
 
-#include <reachlead/usagebook.h>
+#include <reachlead/usagetable.h>
 
 namespace reachlead {
 
@@ -21,7 +21,7 @@
 struct UsageRecord
 {
     FencingToken token = 0;
-    GatewayLife holder;
+    GatewayIncarnation holder;
     WindowNumber window = 0;
     UsageCounts counts;
     std::uint64_t renewals = 0; ///< rises with each write, so that none leaves the object unchanged
@@ -40,7 +40,7 @@
 
 /// What the duty wants to be done next.
 enum class UsageStep : std::uint8_t {
-    Rest, ///< nothing now
+    Idle, ///< nothing now
     Skip, ///< the record's window: nothing began in it, and no report is due
     Read, ///< the store's record
     Write, ///< the record, if the store still has the revision that was read
@@ -49,7 +49,7 @@
 
 struct UsageAction
 {
-    UsageStep step = UsageStep::Rest;
+    UsageStep step = UsageStep::Idle;
     UsageRecord record; ///< to write or to send
     std::optional<std::uint64_t> revision; ///< to write over; none: no record may be there
     bool isTakeover = false; ///< the write makes this gateway the holder
@@ -60,7 +60,7 @@
 struct UsageView
 {
     Time now;
-    WindowNumber due = 0; ///< the last window that this gateway may report by now
+    WindowNumber dueWindow = 0; ///< the last window that this gateway may report by now
     bool isComplete = false; ///< the counts of all gateways that live are known up to it
     UsageCounts counts; ///< of the window that wanted() names
     bool hasCalls = false; ///< calls are known in it or a later window that is due
@@ -72,56 +72,57 @@
 /// one text of a window may ever be sent, and by one holder at a time:
 ///  - a conditional write of one object fixes the counts of a window before they are sent; whoever
 ///    takes over sends what is written there, and only then goes on to the next window;
-///  - each write is a lease of lease(): its holder sends only until sendSpan after it began the
+///  - each write is a lease of lease(): its holder sends only until sendTimeout after it began the
 ///    write; another gateway writes only once it has seen the same revision for a whole lease by
 ///    its own steady clock, and with a higher token;
 ///  - a write without an answer is read back before anything else.
 /// So a holder that is paused, cut off or killed between any two steps is followed by one with the
 /// same counts, and its own late write fails by the revision.
-class UsageDuty
+class UsageReporter
 {
 public:
     /// \p lease is the time for which no other gateway may act after a write.
-    UsageDuty(GatewayLife self, Duration lease) : m_self(std::move(self)), m_lease(lease) { }
+    UsageReporter(GatewayIncarnation self, Duration lease) : m_self(std::move(self)), m_lease(lease)
+    { }
 
     /// The window that is to be reported next.
-    WindowNumber wanted(WindowNumber due) const;
+    WindowNumber nextWindow(WindowNumber due) const;
 
     /// What is to be done; each step is followed by the call that tells how it ended.
     UsageAction next(const UsageView &view) const;
 
     /// A read was answered at \p now with this record; none: there is no record.
-    void wasRead(const std::optional<StoredUsage> &stored, Time now);
+    void onRead(const std::optional<StoredUsage> &stored, Time now);
     /// A write that began at \p began was done, and the store now has \p revision.
-    void wasWritten(const UsageRecord &record, std::uint64_t revision, Time began);
+    void onWritten(const UsageRecord &record, std::uint64_t revision, Time began);
     /// Whether a write was done is not known, or the store has another revision.
-    void isUnsure() { m_isKnown = false; }
+    void invalidate() { m_isKnown = false; }
     /// The platform took the report.
-    void wasSent(const UsageRecord &record);
+    void onSent(const UsageRecord &record);
     /// No report is due for a window: nothing began in it.
     void skip(WindowNumber window);
 
-    auto operator<=>(const UsageDuty &) const = default;
+    auto operator<=>(const UsageReporter &) const = default;
 
     Duration lease() const { return m_lease; }
     bool isHolder() const { return m_known && m_known->record.holder == m_self; }
-    const std::optional<StoredUsage> &known() const { return m_known; }
+    const std::optional<StoredUsage> &lastKnown() const { return m_known; }
 
     /// Time within which a report may be sent after its write began, and the connection is given
     /// up: far enough below the lease for a step of the clock and for bytes under way.
-    Duration sendSpan() const { return m_lease / 2; }
+    Duration sendTimeout() const { return m_lease / 2; }
 
     /// Windows that are still reported when all were without a holder for a while: older ones are
     /// past their time.
-    static constexpr WindowNumber mostBehind = 3;
+    static constexpr WindowNumber maxWindowsBehind = 3;
 
     /// A record that was read longer ago is read again before it is written over.
-    static constexpr Duration readAge = milliseconds(500);
+    static constexpr Duration maxReadAge = milliseconds(500);
 
 private:
     UsageAction takeOver(const UsageView &view, UsageAction action) const;
 
-    GatewayLife m_self;
+    GatewayIncarnation m_self;
     Duration m_lease;
     std::optional<StoredUsage> m_known; ///< none: there is no record
     bool m_isKnown = false; ///< m_known is what the store had last
--- a/src/include/reachlead/usagebook.h
+++ b/src/include/reachlead/usagetable.h
@@ -25,12 +25,12 @@
 using UsageCounts = std::map<AccountName, std::uint32_t>;
 
 /// One life of one gateway.
-struct GatewayLife
+struct GatewayIncarnation
 {
     VmName vm;
     Incarnation incarnation;
 
-    auto operator<=>(const GatewayLife &) const = default;
+    auto operator<=>(const GatewayIncarnation &) const = default;
 
     template <class Archive> void serialize(Archive &ar) { ar(vm, incarnation); }
 };
@@ -38,12 +38,12 @@
 /// What one life of a gateway counted in one window.
 struct WindowUsage
 {
-    GatewayLife life;
+    GatewayIncarnation gateway;
     WindowNumber window = 0;
     bool isFinal = false; ///< the counts grow no more
     UsageCounts counts;
 
-    template <class Archive> void serialize(Archive &ar) { ar(life, window, isFinal, counts); }
+    template <class Archive> void serialize(Archive &ar) { ar(gateway, window, isFinal, counts); }
 };
 
 /// The counts of all lives of all gateways that were heard. Not thread-safe, reads no clock.
@@ -51,45 +51,46 @@
 /// A life's count of an account in a window only grows, so words of it may come twice, late and in
 /// any order: the largest is the newest. A life that ended keeps its counts, and the next life of
 /// the VM begins with none, so nothing is counted twice or lost by a restart.
-class UsageBook
+class UsageTable
 {
 public:
     /// \p span is a window's length.
-    UsageBook(GatewayLife self, Duration span) : m_self(std::move(self)), m_span(span) { }
+    UsageTable(GatewayIncarnation self, Duration span) : m_self(std::move(self)), m_span(span) { }
 
     /// The window that a time of day lies in.
-    WindowNumber windowOf(UnixMillis at) const;
+    WindowNumber windowAt(UnixMillis at) const;
     /// When a window ends.
-    UnixMillis endOf(WindowNumber window) const;
+    UnixMillis windowEnd(WindowNumber window) const;
 
     /// A call of an account began to run.
-    void began(const AccountName &account, UnixMillis at);
+    void countCall(const AccountName &account, UnixMillis at);
 
     /// Takes what is told of a life's counts.
-    void learn(const WindowUsage &told);
+    void merge(const WindowUsage &told);
 
     /// This life's counts of a window; final once the window has settled by \p now.
-    WindowUsage own(WindowNumber window, UnixMillis now) const;
+    WindowUsage ownUsage(WindowNumber window, UnixMillis now) const;
 
     /// The counts of lives that are not in \p live: nobody else will tell them.
-    std::vector<WindowUsage> ofEnded(const std::set<GatewayLife> &live, WindowNumber window) const;
+    std::vector<WindowUsage> exitedUsage(const std::set<GatewayIncarnation> &live,
+                                         WindowNumber window) const;
 
     /// All lives' counts of a window, summed.
     UsageCounts total(WindowNumber window) const;
 
     /// True when this life's counts of a window are known to be final.
-    bool isFinal(const GatewayLife &life, WindowNumber window) const;
+    bool isFinal(const GatewayIncarnation &life, WindowNumber window) const;
 
     /// Forgets windows before \p window.
     void dropBefore(WindowNumber window);
 
-    const GatewayLife &self() const { return m_self; }
+    const GatewayIncarnation &self() const { return m_self; }
 
     /// From a window's end until its counts are final: a call's first event may be under way, and
     /// clocks differ a little.
     static constexpr Duration settleTime = milliseconds(300);
     /// Windows that are remembered: a minute at windows of 5 s; a report is of use for less.
-    static constexpr WindowNumber mostWindows = 12;
+    static constexpr WindowNumber maxWindows = 12;
 
 private:
     struct Kept
@@ -98,9 +99,9 @@
         bool isFinal = false;
     };
 
-    GatewayLife m_self;
+    GatewayIncarnation m_self;
     Duration m_span;
-    std::map<WindowNumber, std::map<GatewayLife, Kept>> m_windows;
+    std::map<WindowNumber, std::map<GatewayIncarnation, Kept>> m_windows;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/watchduty.h
+++ b/src/include/reachlead/watcherelection.h
@@ -18,11 +18,12 @@
 
 /// The place of a gateway in an order that all gateways share, by a hash over its name: how many of
 /// \p others go before it.
-std::size_t rankAmong(const VmName &self, const std::set<VmName> &others);
+std::size_t rendezvousPosition(const VmName &self, const std::set<VmName> &others);
 
 /// The first \p n of the others in an order that each gateway has for itself, so that what each
 /// tells a few is spread over all.
-std::vector<VmName> firstFor(const VmName &self, const std::set<VmName> &others, std::size_t n);
+std::vector<VmName> rendezvousPeers(const VmName &self, const std::set<VmName> &others,
+                                    std::size_t n);
 
 /// Decides whether this gateway watches the store. Not thread-safe, reads no clock.
 ///
@@ -36,7 +37,7 @@
 /// vouched for by them: a fleet that loses its watchers at once has few calls more than it had. A
 /// gateway that has just started knows few of the others, and so not its place in the order; where
 /// there are seeds, they watch until the limit has passed.
-class WatchDuty
+class WatcherElection
 {
 public:
     struct Options
@@ -49,33 +50,35 @@
     };
 
     /// The part of a bound on changes that Options::staleLimit takes.
-    static constexpr double stalePart = 0.75;
+    static constexpr double staleFraction = 0.75;
 
-    explicit WatchDuty(VmName self) : WatchDuty(std::move(self), Options()) { }
-    WatchDuty(VmName self, const Options &options) : m_self(std::move(self)), m_options(options) { }
+    explicit WatcherElection(VmName self) : WatcherElection(std::move(self), Options()) { }
+    WatcherElection(VmName self, const Options &options)
+        : m_self(std::move(self)), m_options(options)
+    { }
 
     /// A peer vouches that this gateway's state was current at \p at.
-    void vouched(Time at);
+    void confirmed(Time at);
 
     /// True when nobody vouched for the state within the limit.
     bool isStale(Time now) const { return m_vouchedAt + m_options.staleLimit < now; }
 
     /// The process began to run at \p now; peers get the limit to be heard before it watches.
-    void begin(Time now)
+    void start(Time now)
     {
         m_vouchedAt = now;
         m_begin = now;
     }
 
     /// True when this gateway should watch, given the other gateways that live.
-    bool isOn(const std::set<VmName> &others, Time now) const;
+    bool isWatcher(const std::set<VmName> &others, Time now) const;
 
     /// Gateways that watch at the same time: enough that the loss of any one VM, or of the store's
     /// favour for one, does not delay a change.
-    static constexpr std::size_t watchers = 3;
+    static constexpr std::size_t watcherCount = 3;
 
     /// Part of the limit by which the last gateway of the order watches later than the first.
-    static constexpr double lastAfter = 0.2;
+    static constexpr double maxStaggerFraction = 0.2;
 
 private:
     VmName m_self;
--- a/src/libreachlead/admission.cpp
+++ b/src/libreachlead/admission.cpp
@@ -17,21 +17,22 @@
     ++m_seen;
 }
 
-void AdmissionWindow::steer(Time now, std::uint32_t running, std::optional<Duration> tightest)
+void AdmissionWindow::adjust(Time now, std::uint32_t running, std::optional<Duration> tightest)
 {
-    if (!tightest || m_seen == 0 || now - m_movedAt < interval)
+    if (!tightest || m_seen == 0 || now - m_movedAt < adjustInterval)
         return;
     m_movedAt = now;
     m_gapSeconds = m_sumSeconds / static_cast<double>(m_seen);
     m_sumSeconds = 0;
     m_seen = 0;
     const double part = m_gapSeconds / toSeconds(*tightest);
-    if (part > shrinkAbove && running > 0) {
-        const double kept = std::floor(std::min(running, m_size) * shrinkTo);
-        m_size = std::max(m_bounds.least, static_cast<std::uint32_t>(kept));
-    } else if (part < growBelow && running >= m_size) {
-        const double step = m_size * (growBelow - part);
-        m_size = std::min(m_bounds.most, m_size + std::max(1U, static_cast<std::uint32_t>(step)));
+    if (part > shrinkThreshold && running > 0) {
+        const double kept = std::floor(std::min(running, m_size) * shrinkFactor);
+        m_size = std::max(m_bounds.minSize, static_cast<std::uint32_t>(kept));
+    } else if (part < growThreshold && running >= m_size) {
+        const double step = m_size * (growThreshold - part);
+        m_size =
+            std::min(m_bounds.maxSize, m_size + std::max(1U, static_cast<std::uint32_t>(step)));
     }
 }
 
--- a/src/libreachlead/agentcore.cpp
+++ b/src/libreachlead/agentcore.cpp
@@ -86,7 +86,7 @@
     if (greets == known) {
         // A second Hello, or a message of a session that was destroyed or never greeted: what an
         // older session still had on its way must not be applied.
-        m_counters->add(Count::StaleFrames);
+        m_counters->add(Counter::StaleFrames);
         if (known)
             destroySession(session, "greeted twice", now);
         return;
@@ -114,7 +114,7 @@
         destroySession(id, "superseded", now);
     m_sessions[session] =
         Session{message.vm, message.incarnation, message.session, message.heartbeatPort};
-    m_counters->add(Count::SessionsOpened);
+    m_counters->add(Counter::SessionsOpened);
     m_counters->set(Gauge::Sessions, static_cast<std::int64_t>(m_sessions.size()));
     Welcome welcome;
     welcome.vm = m_vm;
@@ -129,7 +129,7 @@
 {
     if (m_sessions.erase(session) == 0)
         return;
-    m_counters->add(Count::SessionsLost);
+    m_counters->add(Counter::SessionsLost);
     m_counters->set(Gauge::Sessions, static_cast<std::int64_t>(m_sessions.size()));
     detach(session, now);
 }
@@ -175,7 +175,7 @@
     const auto old = m_runs.find(message.id);
     if (old != m_runs.end()) {
         if (old->second->dispatch->attempt >= message.attempt) {
-            m_counters->add(Count::StaleFrames);
+            m_counters->add(Counter::StaleFrames);
             return;
         }
         cancel(*old->second, now);
@@ -224,7 +224,7 @@
         refuse(session, key, ErrorKind::KeyInUse, "first call in progress");
         return true;
     }
-    End end = first.end;
+    AttemptResult end = first.end;
     if (end.kind != ErrorKind::None || first.dispatch->stream)
         return false; // the claim decides
     end.id = message.id;
@@ -307,9 +307,9 @@
         ++waiting;
     }
     for (Run *run : victims) {
-        m_counters->add(Count::Preempted);
-        m_actions.emplace_back(CancelUpstream{run->key()});
-        End end;
+        m_counters->add(Counter::Preempted);
+        m_actions.emplace_back(CancelUpstreamCall{run->key()});
+        AttemptResult end;
         end.kind = ErrorKind::Preempted;
         end.tokens = run->tokens();
         end.hash = XXH64(run->text.data(), run->text.size(), 0);
@@ -340,11 +340,11 @@
     run.state = Run::State::Running;
     run.startedAt = now;
     run.tokenAt = now;
-    m_actions.emplace_back(StartUpstream{run.key(), run.dispatch});
+    m_actions.emplace_back(StartUpstreamCall{run.key(), run.dispatch});
     send(run, Started{run.dispatch->id, run.dispatch->attempt});
 }
 
-void AgentCore::claimEnded(const AttemptKey &key, ClaimResult result, Time now)
+void AgentCore::claimCompleted(const AttemptKey &key, ClaimResult result, Time now)
 {
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Claiming) {
@@ -353,7 +353,7 @@
     switch (result) {
     case ClaimResult::Granted:
         run->claimed = true;
-        m_counters->add(Count::ClaimsMade);
+        m_counters->add(Counter::ClaimsMade);
         if (!run->session)
             refuseRun(*run, ErrorKind::Superseded, "router away before the start");
         else if (m_draining)
@@ -395,16 +395,16 @@
     applyDrain();
 }
 
-void AgentCore::handle(SessionId session, const Query &message, Time /*now*/)
+void AgentCore::handle(SessionId session, const AttemptQuery &message, Time /*now*/)
 {
-    QueryReply reply{message.id, message.attempt, AttemptState::NeverSeen};
+    AttemptQueryReply reply{message.id, message.attempt, AttemptState::NeverReceived};
     Run *run = findRun({message.id, message.attempt});
     if (!run) {
         const auto mark = m_forgotten.find(message.id.router.value);
         const bool mayBeForgotten =
             mark == m_forgotten.end() ? m_marksLost : message.id.sequence <= mark->second;
         if (mayBeForgotten)
-            reply.state = AttemptState::Forgotten;
+            reply.state = AttemptState::Evicted;
         m_actions.emplace_back(SendToRouter{session, reply});
         return;
     }
@@ -412,7 +412,9 @@
     m_actions.emplace_back(SendToRouter{session, reply});
     run->session = session;
     const std::uint64_t before = run->dispatch->resumeFrom;
-    run->sent = message.have > before ? std::min(message.have - before, run->tokens()) : 0;
+    run->sent = message.receivedTokens > before
+        ? std::min(message.receivedTokens - before, run->tokens())
+        : 0;
     run->allowed = run->sent + message.credit;
     run->endSent = false;
     m_unsettled.insert(message.id);
--- a/src/libreachlead/agentcore_load.cpp
+++ b/src/libreachlead/agentcore_load.cpp
@@ -22,7 +22,7 @@
     load.window = m_isBackingOff ? 0 : m_window.size();
     load.running = static_cast<std::uint32_t>(m_running);
     load.queued = static_cast<std::uint32_t>(m_queue.size());
-    load.tokenGapMicros = static_cast<std::uint32_t>(toSeconds(m_window.gap()) * 1e6);
+    load.tokenGapMicros = static_cast<std::uint32_t>(toSeconds(m_window.tokenGap()) * 1e6);
     load.leaving = m_draining;
     for (const auto &[tier, runs] : preemptibleRuns())
         load.preemptible.at(tier) = static_cast<std::uint32_t>(runs.size());
@@ -31,7 +31,8 @@
             const Run &run = *m_runs.at(id);
             return run.session == session && run.state != Run::State::Finished;
         };
-        load.yours = static_cast<std::uint32_t>(std::ranges::count_if(m_unsettled, isTheirs));
+        load.recipientRequests =
+            static_cast<std::uint32_t>(std::ranges::count_if(m_unsettled, isTheirs));
     }
     return load;
 }
@@ -90,9 +91,9 @@
 }
 
 /// What waits is given back, so that routers place it elsewhere.
-void AgentCore::upstreamAskedToBackOff(Duration retryAfter, Time now)
+void AgentCore::upstreamRequestedBackoff(Duration retryAfter, Time now)
 {
-    m_backoffUntil = std::max(m_backoffUntil, now + std::min(retryAfter, longestBackoff));
+    m_backoffUntil = std::max(m_backoffUntil, now + std::min(retryAfter, maxBackoff));
     m_isBackingOff = now < m_backoffUntil;
     while (m_isBackingOff && !m_queue.empty())
         refuseRun(*m_runs.at(m_queue.begin()->second), ErrorKind::AgentBusy,
@@ -123,9 +124,9 @@
     wokeJustNow(now);
     m_tickedAt = now;
     m_isBackingOff = now < m_backoffUntil;
-    m_window.steer(now, static_cast<std::uint32_t>(m_running), tightestTarget());
+    m_window.adjust(now, static_cast<std::uint32_t>(m_running), tightestTarget());
     endGrace(now);
-    forgetOld(now);
+    dropExpired(now);
     startQueued(now);
     reportLoad(false, now);
     m_counters->set(Gauge::Running, static_cast<std::int64_t>(m_running));
--- a/src/libreachlead/agentcore_pvt.h
+++ b/src/libreachlead/agentcore_pvt.h
@@ -27,7 +27,7 @@
     std::uint64_t allowed = 0; ///< tokens that may be sent, of this attempt
     bool claimed = false;
     bool endSent = false;
-    End end; ///< once finished
+    AttemptResult end; ///< once finished
     Time startedAt{}; ///< when it was handed to the upstream
     Time tokenAt{}; ///< when the last token came
     Time detachedAt{};
--- a/src/libreachlead/agentcore_runs.cpp
+++ b/src/libreachlead/agentcore_runs.cpp
@@ -67,8 +67,8 @@
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    if (run->text.size() + text.size() > m_tuning.longestAnswer) {
-        m_actions.emplace_back(CancelUpstream{key});
+    if (run->text.size() + text.size() > m_tuning.maxAnswerBytes) {
+        m_actions.emplace_back(CancelUpstreamCall{key});
         endFailed(*run, ErrorKind::UpstreamLost, Outcome::Ran, "answer too long", now);
         return;
     }
@@ -85,7 +85,7 @@
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    End end;
+    AttemptResult end;
     end.tokens = run->tokens();
     end.hash = XXH64(run->text.data(), run->text.size(), 0);
     finish(*run, std::move(end), now);
@@ -97,7 +97,7 @@
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    End end;
+    AttemptResult end;
     end.status = status;
     end.headers = std::move(headers);
     end.body = std::move(body);
@@ -107,7 +107,7 @@
 /// Tells all routers, ahead of the run's end: a request that ends upstreams comes to any of them,
 /// and each would have to find it out by three upstreams of its own. Without it 30 of 30 tries of
 /// such a request ended an engine, with it three.
-void AgentCore::upstreamEnded(const AttemptKey &key, Time now)
+void AgentCore::upstreamExited(const AttemptKey &key, Time now)
 {
     const Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
@@ -116,8 +116,9 @@
     if (!m_endedAt || run->startedAt > *m_endedAt)
         ++m_livesEnded;
     m_endedAt = now;
-    const RequestDigest request = digestOf(contentOf(run->dispatch->account, run->dispatch->call));
-    const UpstreamLoss loss{request, m_livesEnded};
+    const RequestDigest request =
+        computeDigest(requestContent(run->dispatch->account, run->dispatch->call));
+    const UpstreamCrash loss{request, m_livesEnded};
     for (const auto &[session, router] : m_sessions)
         m_actions.emplace_back(SendToRouter{session, loss});
 }
@@ -137,7 +138,7 @@
     if (outcome == Outcome::NotRun && run.tokens() == 0) {
         refuseRun(run, kind, reason);
     } else {
-        End end;
+        AttemptResult end;
         end.kind = kind;
         end.outcome = run.tokens() > 0 ? Outcome::Ran : outcome;
         end.reason = reason;
@@ -148,7 +149,7 @@
     startQueued(now);
 }
 
-void AgentCore::finish(Run &run, End end, Time now)
+void AgentCore::finish(Run &run, AttemptResult end, Time now)
 {
     leaveWindow(run);
     end.id = run.dispatch->id;
@@ -196,7 +197,7 @@
     switch (run.state) {
     case Run::State::Queued:
         run.session.reset();
-        refuseRun(run, ErrorKind::CallerGone, "cancelled before the start");
+        refuseRun(run, ErrorKind::CallerDisconnected, "cancelled before the start");
         break;
     case Run::State::Claiming:
         run.session.reset(); // the end of the claim finds no router and gives the key back
@@ -204,12 +205,15 @@
     case Run::State::Running:
         if (!run.dispatch->repeatable && !run.dispatch->stream)
             break;
-        m_counters->add(Count::UpstreamCancels);
-        m_counters->add(Count::TokensWasted, run.tokens());
-        m_actions.emplace_back(CancelUpstream{run.key()});
+        m_counters->add(Counter::UpstreamCancels);
+        m_counters->add(Counter::TokensWasted, run.tokens());
+        m_actions.emplace_back(CancelUpstreamCall{run.key()});
         run.session.reset();
-        finish(run, End{{}, 0, ErrorKind::CallerGone, Outcome::Ran, "cancelled", 0, 0, 0, {}, {}},
-               now);
+        finish(
+            run,
+            AttemptResult{
+                {}, 0, ErrorKind::CallerDisconnected, Outcome::Ran, "cancelled", 0, 0, 0, {}, {}},
+            now);
         break;
     case Run::State::Finished:
         run.session.reset();
@@ -247,7 +251,7 @@
         m_byKey.erase(key);
     m_unsettled.erase(id);
     m_runs.erase(it);
-    if (m_forgotten.size() >= m_tuning.mostRouters && !m_forgotten.contains(id.router.value)) {
+    if (m_forgotten.size() >= m_tuning.maxRouters && !m_forgotten.contains(id.router.value)) {
         m_forgotten.erase(m_forgotten.begin());
         m_marksLost = true;
     }
@@ -255,20 +259,20 @@
     mark = std::max(mark, id.sequence);
 }
 
-void AgentCore::forgetOld(Time now)
+void AgentCore::dropExpired(Time now)
 {
-    if (now - m_forgotAt < forgetInterval && m_finished.size() <= m_tuning.mostKept)
+    if (now - m_forgotAt < forgetInterval && m_finished.size() <= m_tuning.maxFinished)
         return;
     m_forgotAt = now;
     auto it = m_finished.begin();
     while (it != m_finished.end()) {
         const auto found = m_runs.find(*it);
         const bool gone = found == m_runs.end() || found->second->state != Run::State::Finished;
-        const bool crowded = m_finished.size() > m_tuning.mostKept;
+        const bool crowded = m_finished.size() > m_tuning.maxFinished;
         if (!gone && !crowded) {
             const Run &run = *found->second;
             const bool keyed = !run.dispatch->idempotencyKey.empty();
-            const Duration keep = keyed ? m_tuning.keepAnswers : m_tuning.keepFinished;
+            const Duration keep = keyed ? m_tuning.answerRetention : m_tuning.finishedRetention;
             const bool unread = run.session && !run.endSent;
             if (unread || now - run.finishedAt < keep) {
                 ++it;
--- a/src/libreachlead/agentcore_test.cpp
+++ b/src/libreachlead/agentcore_test.cpp
@@ -106,10 +106,10 @@
         tuning.window = {1, 1, 1};
         open(tuning);
         dispatch(1, 0);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>());
         dispatch(2, 3);
         dispatch(3, 0);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
         m_core->upstreamDone(key(1), m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<Started>().at(0).id.sequence);
@@ -125,16 +125,16 @@
         dispatch(3, 1);
         token(2, "x");
         dispatch(4, 0);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstream>());
-        const End end = sent<End>().at(0);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstreamCall>());
+        const AttemptResult end = sent<AttemptResult>().at(0);
         CPPUNIT_ASSERT(end.kind == ErrorKind::Preempted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, end.id.sequence);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, end.tokens); // what it made is kept
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, sent<Started>().at(0).id.sequence);
         dispatch(5, 1);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, sent<End>().at(0).id.sequence);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, sent<AttemptResult>().at(0).id.sequence);
         dispatch(6, 1); // an equal tier gives way to nobody
-        CPPUNIT_ASSERT(sent<End>().empty());
+        CPPUNIT_ASSERT(sent<AttemptResult>().empty());
     }
 
     void floorKeepsItsPlaces()
@@ -159,8 +159,8 @@
         CPPUNIT_ASSERT_EQUAL(0U, m_core->load(session).preemptible[4]);
         m_core->upstreamDone(key(1), m_now); // the two that kept their places still run
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<End>().size());
-        CPPUNIT_ASSERT(sent<End>().at(0).kind == ErrorKind::None);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<AttemptResult>().size());
+        CPPUNIT_ASSERT(sent<AttemptResult>().at(0).kind == ErrorKind::None);
     }
 
     void shedsTheLowestTierWhenFull()
@@ -189,15 +189,15 @@
         collect();
         token(1, " c"); // made while the router is away
         greet(SessionId{2}, 2);
-        m_core->message(SessionId{2}, Query{id(1), 1, 2, 100}, m_now);
+        m_core->message(SessionId{2}, AttemptQuery{id(1), 1, 2, 100}, m_now);
         collect();
-        CPPUNIT_ASSERT(sent<QueryReply>().at(0).state == AttemptState::Held);
+        CPPUNIT_ASSERT(sent<AttemptQueryReply>().at(0).state == AttemptState::Held);
         const Chunk chunk = sent<Chunk>().at(0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, chunk.from);
         CPPUNIT_ASSERT_EQUAL(std::string(" c"), chunk.text);
         m_core->upstreamDone(key(1), m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<End>().at(0).tokens);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<AttemptResult>().at(0).tokens);
     }
 
     void creditHoldsUpOneStreamAlone()
@@ -217,11 +217,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Chunk>().size());
         m_core->upstreamDone(key(1), m_now);
         collect();
-        CPPUNIT_ASSERT(sent<End>().empty()); // never ahead of its tokens
+        CPPUNIT_ASSERT(sent<AttemptResult>().empty()); // never ahead of its tokens
         m_core->message(session, Credit{id(1), 1, 10}, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<Chunk>().at(0).count);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<End>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<AttemptResult>().size());
     }
 
     void leavingAgentRefusesAndFinishes()
@@ -241,7 +241,7 @@
         token(1, "x");
         m_core->upstreamDone(key(1), m_now);
         collect();
-        CPPUNIT_ASSERT(sent<End>().at(0).kind == ErrorKind::None);
+        CPPUNIT_ASSERT(sent<AttemptResult>().at(0).kind == ErrorKind::None);
         CPPUNIT_ASSERT(m_core->idle());
     }
 
@@ -253,14 +253,14 @@
         open(tuning);
         dispatch(1);
         dispatch(2);
-        m_core->upstreamAskedToBackOff(seconds(3), m_now);
+        m_core->upstreamRequestedBackoff(seconds(3), m_now);
         m_core->upstreamFailed(key(1), ErrorKind::UpstreamRefused, Outcome::NotRun, "503", m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy); // 2, given back
         CPPUNIT_ASSERT_EQUAL(0U, sent<LoadReport>().at(0).load.window); // told at once
         m_now += seconds(2);
-        m_core->upstreamAskedToBackOff(milliseconds(100), m_now); // does not shorten the first
+        m_core->upstreamRequestedBackoff(milliseconds(100), m_now); // does not shorten the first
         dispatch(3);
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy);
         m_now += seconds(1);
@@ -268,7 +268,7 @@
         collect();
         CPPUNIT_ASSERT_EQUAL(1U, sent<LoadReport>().at(0).load.window);
         dispatch(4);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>());
     }
 
     /// A stream that its engine cut three times was quarantined as one that ends engines.
@@ -278,13 +278,13 @@
         dispatch(1);
         m_core->upstreamFailed(key(1), ErrorKind::UpstreamLost, Outcome::Ran, "cut", m_now);
         collect();
-        CPPUNIT_ASSERT(sent<End>().at(0).kind == ErrorKind::UpstreamLost);
-        CPPUNIT_ASSERT(sent<UpstreamLoss>().empty());
+        CPPUNIT_ASSERT(sent<AttemptResult>().at(0).kind == ErrorKind::UpstreamLost);
+        CPPUNIT_ASSERT(sent<UpstreamCrash>().empty());
         dispatch(2);
-        m_core->upstreamEnded(key(2), m_now);
+        m_core->upstreamExited(key(2), m_now);
         m_core->upstreamFailed(key(2), ErrorKind::UpstreamLost, Outcome::Ran, "gone", m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<UpstreamLoss>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<UpstreamCrash>().size());
     }
 
     /// It stood still for 4 s. What waits in its socket is a dispatch, then the word to leave.
@@ -294,7 +294,7 @@
         m_core->tick(m_now);
         m_now += seconds(4);
         dispatch(1);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
         m_core->message(session, Leaving{true}, m_now);
         collect();
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentLeaving);
@@ -305,7 +305,7 @@
             m_core->tick(m_now);
         }
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstream>()); // and goes on as before
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>()); // and goes on as before
     }
 
     void listCanTakeItsWordBack()
@@ -324,7 +324,7 @@
     void forgottenRecordIsNotNeverSeen()
     {
         AgentTuning tuning;
-        tuning.keepFinished = seconds(1);
+        tuning.finishedRetention = seconds(1);
         open(tuning);
         dispatch(5);
         m_core->upstreamDone(key(5), m_now);
@@ -332,12 +332,12 @@
         m_now += seconds(3);
         m_core->tick(m_now);
         collect();
-        m_core->message(session, Query{id(5), 1, 0, 0}, m_now);
+        m_core->message(session, AttemptQuery{id(5), 1, 0, 0}, m_now);
         collect();
-        CPPUNIT_ASSERT(sent<QueryReply>().at(0).state == AttemptState::Forgotten);
-        m_core->message(session, Query{id(6), 1, 0, 0}, m_now);
+        CPPUNIT_ASSERT(sent<AttemptQueryReply>().at(0).state == AttemptState::Evicted);
+        m_core->message(session, AttemptQuery{id(6), 1, 0, 0}, m_now);
         collect();
-        CPPUNIT_ASSERT(sent<QueryReply>().at(0).state == AttemptState::NeverSeen);
+        CPPUNIT_ASSERT(sent<AttemptQueryReply>().at(0).state == AttemptState::NeverReceived);
     }
 
     void olderSessionIsDestroyed()
@@ -346,10 +346,10 @@
         greet(SessionId{2}, 2);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CloseSession>());
         dispatch(1); // late, on the older session
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstream>());
-        m_core->message(SessionId{2}, Query{id(1), 1, 0, 0}, m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
+        m_core->message(SessionId{2}, AttemptQuery{id(1), 1, 0, 0}, m_now);
         collect();
-        CPPUNIT_ASSERT(sent<QueryReply>().at(0).state == AttemptState::NeverSeen);
+        CPPUNIT_ASSERT(sent<AttemptQueryReply>().at(0).state == AttemptState::NeverReceived);
         greet(SessionId{3}, 1); // an old Hello that was under way
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CloseSession>());
     }
@@ -360,11 +360,11 @@
         dispatch(1);
         m_core->message(session, Cancel{id(1), 1}, m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstreamCall>());
         dispatch(2, 0, "", false);
         m_core->message(session, Cancel{id(2), 1}, m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<CancelUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<CancelUpstreamCall>());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_core->running());
     }
 
@@ -385,7 +385,7 @@
         }
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_core->running());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstreamCall>());
     }
 
     void repeatedKeyGetsTheFirstAnswer()
@@ -393,23 +393,23 @@
         open();
         dispatch(1, 0, "k", false);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<MakeClaim>());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstream>()); // not before the claim
-        m_core->claimEnded(key(1), ClaimResult::Granted, m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>()); // not before the claim
+        m_core->claimCompleted(key(1), ClaimResult::Granted, m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>());
         dispatch(2, 0, "k", false);
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::KeyInUse);
         m_core->upstreamAnswer(key(1), 201, {}, "booked", m_now);
         dispatch(3, 0, "k", false);
-        CPPUNIT_ASSERT_EQUAL(std::string("booked"), sent<End>().at(0).body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstream>());
+        CPPUNIT_ASSERT_EQUAL(std::string("booked"), sent<AttemptResult>().at(0).body);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
     }
 
     void unreachableUpstreamGivesTheKeyBack()
     {
         open();
         dispatch(1, 0, "k", false);
-        m_core->claimEnded(key(1), ClaimResult::Granted, m_now);
+        m_core->claimCompleted(key(1), ClaimResult::Granted, m_now);
         m_core->upstreamFailed(key(1), ErrorKind::UpstreamUnreachable, Outcome::NotRun, "", m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<ReleaseClaim>());
@@ -419,13 +419,13 @@
     void tooLongAnswerIsCut()
     {
         AgentTuning tuning;
-        tuning.longestAnswer = 10;
+        tuning.maxAnswerBytes = 10;
         open(tuning);
         dispatch(1);
         token(1, "12345678");
         token(1, "12345678");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstream>());
-        CPPUNIT_ASSERT(sent<End>().at(0).outcome == Outcome::Ran);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstreamCall>());
+        CPPUNIT_ASSERT(sent<AttemptResult>().at(0).outcome == Outcome::Ran);
     }
 };
 
--- a/src/libreachlead/apikey.cpp
+++ b/src/libreachlead/apikey.cpp
@@ -48,7 +48,7 @@
     return toHex(data, bytes);
 }
 
-const AccountPolicy *accountOfKey(const Policies &policies, std::string_view key)
+const AccountPolicy *findAccountByKey(const Policies &policies, std::string_view key)
 {
     static const std::string noHash(sha256Bytes * 2, '0');
     const auto colon = key.find(':');
--- a/src/libreachlead/circuit.cpp
+++ b/src/libreachlead/circuit.cpp
@@ -44,7 +44,7 @@
 
     unsigned failuresInRow = 0;
     Circuit::Settings settings;
-    Duration pause = settings.firstPause;
+    Duration pause = settings.initialOpenDuration;
     Time opensAgainAt{};
     unsigned probesOut = 0;
 
@@ -70,7 +70,7 @@
         void operator()(const Failed &event, Machine &m, From & /*from*/, To & /*to*/)
         {
             m.opensAgainAt = event.at + m.pause;
-            m.pause = std::min(m.pause * 2, m.settings.longestPause);
+            m.pause = std::min(m.pause * 2, m.settings.maxOpenDuration);
             m.probesOut = 0;
         }
     };
@@ -88,7 +88,7 @@
         void operator()(const Event & /*event*/, Machine &m, From & /*from*/, To & /*to*/)
         {
             m.failuresInRow = 0;
-            m.pause = m.settings.firstPause;
+            m.pause = m.settings.initialOpenDuration;
             m.probesOut = 0;
         }
     };
@@ -136,7 +136,7 @@
 Circuit::Circuit(const Settings &settings) : m_impl(std::make_unique<Impl>())
 {
     m_impl->settings = settings;
-    m_impl->pause = settings.firstPause;
+    m_impl->pause = settings.initialOpenDuration;
     m_impl->start();
 }
 
@@ -174,7 +174,7 @@
     m_impl->process_event(Failed{now});
 }
 
-void Circuit::absent(Time now)
+void Circuit::connectionRefused(Time now)
 {
     for (unsigned n = 0; n < m_impl->settings.failuresToOpen; ++n)
         failed(now); // those behind the last are ignored while it is open
--- a/src/libreachlead/claimbook.cpp
+++ b/src/libreachlead/claimtable.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/claimbook.h>
+#include <reachlead/claimtable.h>
 
 #include <algorithm>
 #include <charconv>
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration retryPause = milliseconds(100); ///< after a call that found the store away
+constexpr Duration maxRetryBackoff = milliseconds(100); ///< after a call that found the store away
 
 std::string hashOf(const AccountName &account, std::string_view key)
 {
@@ -50,15 +50,15 @@
 std::uint32_t claimPartition(const AccountName &account, std::string_view idempotencyKey)
 {
     const std::string hash = hashOf(account, idempotencyKey);
-    return static_cast<std::uint32_t>(XXH64(hash.data(), hash.size(), 0) % claimPartitions);
+    return static_cast<std::uint32_t>(XXH64(hash.data(), hash.size(), 0) % claimPartitionCount);
 }
 
-ClaimBook::ClaimBook(TargetName target, ClaimTuning tuning,
-                     std::function<std::int64_t()> wallSeconds)
+ClaimTable::ClaimTable(TargetName target, ClaimTuning tuning,
+                       std::function<std::int64_t()> wallSeconds)
     : m_target(std::move(target)), m_tuning(tuning), m_wallSeconds(std::move(wallSeconds))
 { }
 
-void ClaimBook::claim(const MakeClaim &claim, Time now)
+void ClaimTable::claim(const MakeClaim &claim, Time now)
 {
     Change change{hashOf(claim.account, claim.idempotencyKey),
                   {claim.key.id, claim.key.attempt},
@@ -67,7 +67,7 @@
     add(claimPartition(claim.account, claim.idempotencyKey), std::move(change), now);
 }
 
-void ClaimBook::release(const ReleaseClaim &release, Time now)
+void ClaimTable::release(const ReleaseClaim &release, Time now)
 {
     Change change{hashOf(release.account, release.idempotencyKey),
                   {release.key.id, release.key.attempt},
@@ -76,7 +76,7 @@
     add(claimPartition(release.account, release.idempotencyKey), std::move(change), now);
 }
 
-void ClaimBook::add(std::uint32_t partition, Change change, Time now)
+void ClaimTable::add(std::uint32_t partition, Change change, Time now)
 {
     if (m_waiting >= m_tuning.mostWaiting) {
         // A claim is refused as not run. A release is dropped: its key then stays claimed until
@@ -90,18 +90,18 @@
     advance(partition, p, now);
 }
 
-void ClaimBook::end(const Change &change, ClaimResult result)
+void ClaimTable::end(const Change &change, ClaimResult result)
 {
     if (!change.releases)
-        m_actions.emplace_back(ClaimEnded{{change.owner.id, change.owner.attempt}, result});
+        m_actions.emplace_back(ClaimCompleted{{change.owner.id, change.owner.attempt}, result});
 }
 
-std::vector<ClaimAction> ClaimBook::takeActions()
+std::vector<ClaimAction> ClaimTable::takeActions()
 {
     return std::exchange(m_actions, {});
 }
 
-void ClaimBook::tick(Time now)
+void ClaimTable::tick(Time now)
 {
     for (auto &[number, p] : m_partitions) {
         expire(p, now);
@@ -111,7 +111,7 @@
 
 /// Refuses claims that waited too long. Those being written are looked at when the word on the
 /// write is in.
-void ClaimBook::expire(Partition &p, Time now)
+void ClaimTable::expire(Partition &p, Time now)
 {
     const auto over = [&](const Change &change) {
         if (change.until > now)
@@ -132,7 +132,7 @@
     }
 }
 
-void ClaimBook::advance(std::uint32_t number, Partition &p, Time now)
+void ClaimTable::advance(std::uint32_t number, Partition &p, Time now)
 {
     const bool hasWork = !p.waiting.empty() || p.inDoubt;
     if (!hasWork || now < p.nextAt)
@@ -143,15 +143,15 @@
         write(number, p, now);
 }
 
-void ClaimBook::read(std::uint32_t number, Partition &p)
+void ClaimTable::read(std::uint32_t number, Partition &p)
 {
     p.phase = Phase::Reading;
-    p.call = ClaimCall{++m_lastCall};
+    p.call = ClaimCallId{++m_lastCall};
     m_calls[p.call] = number;
     m_actions.emplace_back(ReadSlots{p.call, fmt::format("{}{}/", claimsPrefix(m_target), number)});
 }
 
-bool ClaimBook::takenByOther(const Partition &p, const Change &change) const
+bool ClaimTable::takenByOther(const Partition &p, const Change &change) const
 {
     const auto it = p.owners.find(change.hash);
     if (it == p.owners.end())
@@ -162,7 +162,7 @@
 }
 
 /// Finds the slot that takes the next claims, or starts the next one over the oldest.
-bool ClaimBook::openSlot(Partition &p, std::size_t *place, Slot *slot) const
+bool ClaimTable::openSlot(Partition &p, std::size_t *place, Slot *slot) const
 {
     const auto newest =
         std::ranges::max_element(p.slots, {}, [](const auto &entry) { return entry.second.epoch; });
@@ -188,7 +188,7 @@
     return true;
 }
 
-void ClaimBook::write(std::uint32_t number, Partition &p, Time now)
+void ClaimTable::write(std::uint32_t number, Partition &p, Time now)
 {
     const bool room = openSlot(p, &p.writingPlace, &p.writingSlot);
     while (!p.waiting.empty()) {
@@ -216,13 +216,13 @@
         p.writingSlot.closedAt = m_wallSeconds();
     p.phase = Phase::Writing;
     p.nextAt = now + m_tuning.spacing;
-    p.call = ClaimCall{++m_lastCall};
+    p.call = ClaimCallId{++m_lastCall};
     m_calls[p.call] = number;
     m_actions.emplace_back(WriteSlot{p.call, slotKey(number, p.writingPlace), textOf(p.writingSlot),
                                      p.writingSlot.version});
 }
 
-void ClaimBook::answered(ClaimCall call, const PlatformReply &reply, Time now)
+void ClaimTable::replyReceived(ClaimCallId call, const PlatformReply &reply, Time now)
 {
     const auto it = m_calls.find(call);
     if (it == m_calls.end())
@@ -251,16 +251,16 @@
         p.nextAt = now;
         giveBack(p);
         break;
-    case PlatformStatus::Down:
+    case PlatformStatus::Unavailable:
         if (!wasRead) // the store said that it did nothing
             giveBack(p);
         p.phase = Phase::Unread;
-        p.nextAt = now + retryPause;
+        p.nextAt = now + maxRetryBackoff;
         break;
-    case PlatformStatus::Lost:
+    case PlatformStatus::Indeterminate:
         p.inDoubt = p.inDoubt || !wasRead;
         p.phase = Phase::Unread;
-        p.nextAt = now + retryPause;
+        p.nextAt = now + maxRetryBackoff;
         break;
     }
     expire(p, now);
@@ -268,7 +268,7 @@
 }
 
 /// Puts a batch that was not written back in front of the line.
-void ClaimBook::giveBack(Partition &p)
+void ClaimTable::giveBack(Partition &p)
 {
     m_waiting += p.writing.size();
     p.waiting.insert(p.waiting.begin(), std::make_move_iterator(p.writing.begin()),
@@ -276,7 +276,7 @@
     p.writing.clear();
 }
 
-void ClaimBook::written(Partition &p, ObjectVersion version)
+void ClaimTable::written(Partition &p, ObjectVersion version)
 {
     p.phase = Phase::Ready;
     p.writingSlot.version = version;
@@ -297,7 +297,7 @@
 }
 
 /// After a lost reply: what was read back says whether the batch was written.
-void ClaimBook::settleDoubt(Partition &p)
+void ClaimTable::settleDoubt(Partition &p)
 {
     p.inDoubt = false;
     std::vector<Change> batch = std::exchange(p.writing, {});
@@ -314,7 +314,7 @@
     }
 }
 
-void ClaimBook::takeSlots(Partition &p, const PlatformReply &reply)
+void ClaimTable::takeSlots(Partition &p, const PlatformReply &reply)
 {
     p.slots.clear();
     for (const PlatformObject &object : reply.objects) {
@@ -329,7 +329,7 @@
     rebuildOwners(p);
 }
 
-void ClaimBook::rebuildOwners(Partition &p)
+void ClaimTable::rebuildOwners(Partition &p)
 {
     std::map<std::uint64_t, const Slot *> byEpoch;
     for (const auto &[place, slot] : p.slots)
@@ -339,17 +339,17 @@
         replay(slot->lines, &p.owners);
 }
 
-std::string ClaimBook::slotKey(std::uint32_t number, std::size_t place) const
+std::string ClaimTable::slotKey(std::uint32_t number, std::size_t place) const
 {
     return fmt::format("{}{}/{}", claimsPrefix(m_target), number, place);
 }
 
-std::string ClaimBook::textOf(const Slot &slot)
+std::string ClaimTable::textOf(const Slot &slot)
 {
     return fmt::format("epoch {} {}\n{}", slot.epoch, slot.closedAt, slot.lines);
 }
 
-std::optional<ClaimBook::Slot> ClaimBook::parse(const std::string &text)
+std::optional<ClaimTable::Slot> ClaimTable::parse(const std::string &text)
 {
     const auto end = text.find('\n');
     const auto head = words(std::string_view(text).substr(0, end));
@@ -363,15 +363,15 @@
 
 /// Takes out the claim of exactly this attempt. A later attempt of the same request may hold the
 /// key by now, claimed through another agent: its claim must stand.
-void ClaimBook::eraseOwner(std::map<std::string, Owner> *owners, const std::string &hash,
-                           const Owner &owner)
+void ClaimTable::eraseOwner(std::map<std::string, Owner> *owners, const std::string &hash,
+                            const Owner &owner)
 {
     const auto it = owners->find(hash);
     if (it != owners->end() && it->second.id == owner.id && it->second.attempt == owner.attempt)
         owners->erase(it);
 }
 
-void ClaimBook::replay(const std::string &lines, std::map<std::string, Owner> *owners)
+void ClaimTable::replay(const std::string &lines, std::map<std::string, Owner> *owners)
 {
     for (const auto part : lines | std::views::split('\n')) {
         const std::string_view line(part.begin(), part.end());
--- a/src/libreachlead/claimbook_test.cpp
+++ b/src/libreachlead/claimtable_test.cpp
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/claimbook.h>
+#include <reachlead/claimtable.h>
 
 namespace reachlead {
 
@@ -53,9 +53,9 @@
 
 } // namespace
 
-class ClaimBookTest : public CppUnit::TestFixture
+class ClaimTableTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(ClaimBookTest);
+    CPPUNIT_TEST_SUITE(ClaimTableTest);
     CPPUNIT_TEST(firstClaimWins);
     CPPUNIT_TEST(lostReplyIsReadBack);
     CPPUNIT_TEST(lostReplyThatDidNothingIsWrittenAgain);
@@ -73,7 +73,7 @@
     struct Agent
     {
         Store *store;
-        ClaimBook book;
+        ClaimTable book;
         std::vector<ClaimAction> calls; ///< out, not answered yet
         std::map<std::uint64_t, ClaimResult> ended; ///< by sequence of the request
 
@@ -84,7 +84,7 @@
         void collect()
         {
             for (ClaimAction &action : book.takeActions()) {
-                if (const auto *word = std::get_if<ClaimEnded>(&action))
+                if (const auto *word = std::get_if<ClaimCompleted>(&action))
                     ended[word->key.id.sequence] = word->result;
                 else
                     calls.push_back(std::move(action));
@@ -92,7 +92,7 @@
         }
 
         /// Carries out the oldest call at the store and gives back its reply, not yet told.
-        std::pair<ClaimCall, PlatformReply> take()
+        std::pair<ClaimCallId, PlatformReply> take()
         {
             const ClaimAction action = std::move(calls.front());
             calls.erase(calls.begin());
@@ -102,9 +102,9 @@
             return {write.call, store->put(write)};
         }
 
-        void answer(ClaimCall call, const PlatformReply &reply, Time now)
+        void answer(ClaimCallId call, const PlatformReply &reply, Time now)
         {
-            book.answered(call, reply, now);
+            book.replyReceived(call, reply, now);
             collect();
         }
 
@@ -161,7 +161,7 @@
         agent.answer(read, slots, start);
         auto [write, written] = agent.take();
         CPPUNIT_ASSERT(written.ok());
-        agent.answer(write, withStatus(PlatformStatus::Lost), start);
+        agent.answer(write, withStatus(PlatformStatus::Indeterminate), start);
         CPPUNIT_ASSERT(agent.ended.empty()); // nothing is told before it was read back
         agent.book.tick(start + seconds(1));
         agent.settle(start + seconds(1));
@@ -176,9 +176,9 @@
         auto [read, slots] = agent.take();
         agent.answer(read, slots, start);
         const auto &write = std::get<WriteSlot>(agent.calls.front());
-        const ClaimCall call = write.call;
+        const ClaimCallId call = write.call;
         agent.calls.clear(); // never reached the store
-        agent.answer(call, withStatus(PlatformStatus::Lost), start);
+        agent.answer(call, withStatus(PlatformStatus::Indeterminate), start);
         agent.book.tick(start + seconds(1));
         agent.settle(start + seconds(1));
         CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::Granted);
@@ -195,7 +195,7 @@
             while (!agent.calls.empty()) {
                 const auto call = std::get<ReadSlots>(agent.calls.front()).call;
                 agent.calls.clear();
-                agent.answer(call, withStatus(PlatformStatus::Down), now);
+                agent.answer(call, withStatus(PlatformStatus::Unavailable), now);
             }
         }
         CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::StoreDown);
@@ -208,7 +208,7 @@
         auto [read, slots] = agent.take();
         agent.answer(read, slots, start);
         auto [write, written] = agent.take();
-        agent.answer(write, withStatus(PlatformStatus::Lost), start);
+        agent.answer(write, withStatus(PlatformStatus::Indeterminate), start);
         const Time late = start + seconds(3); // the store could not be read in time
         agent.book.tick(late);
         agent.collect();
@@ -275,7 +275,7 @@
             agent.claim(n, fmt::format("key-{}", n), start);
         agent.settle(start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3200}, agent.ended.size());
-        CPPUNIT_ASSERT_EQUAL(claimPartitions, m_store.writes);
+        CPPUNIT_ASSERT_EQUAL(claimPartitionCount, m_store.writes);
     }
 
     void slotsAreReusedOnlyAfterTheirLife()
@@ -339,12 +339,13 @@
                         const ClaimAction action = agent.calls.front();
                         agent.calls.erase(agent.calls.begin());
                         const auto *read = std::get_if<ReadSlots>(&action);
-                        const ClaimCall call = read ? read->call : std::get<WriteSlot>(action).call;
-                        agent.answer(call, withStatus(PlatformStatus::Lost), now);
+                        const ClaimCallId call =
+                            read ? read->call : std::get<WriteSlot>(action).call;
+                        agent.answer(call, withStatus(PlatformStatus::Indeterminate), now);
                     } else {
                         auto [call, reply] = agent.take();
                         if (what % 7 == 1) // lost after it took effect
-                            reply = withStatus(PlatformStatus::Lost);
+                            reply = withStatus(PlatformStatus::Indeterminate);
                         agent.answer(call, reply, now);
                     }
                 }
@@ -361,6 +362,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ClaimBookTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ClaimTableTest);
 
 } // namespace reachlead
--- a/src/libreachlead/clock.cpp
+++ b/src/libreachlead/clock.cpp
@@ -45,7 +45,7 @@
 {
     if (d > Duration::zero() && RuntimeClock::paused())
         return milliseconds(1);
-    return std::min<Duration>(d, longestLook);
+    return std::min<Duration>(d, maxPollInterval);
 }
 
 Duration RuntimeWaitTraits::to_wait_duration(const Time &t)
