--- a/src/libreachlead/parts_test.cpp
+++ b/src/libreachlead/components_test.cpp
@@ -9,15 +9,15 @@
 #include <reachlead/circuit.h>
 #include <reachlead/lengthestimate.h>
 #include <reachlead/placement.h>
-#include <reachlead/requestlife.h>
+#include <reachlead/requestlifecycle.h>
 #include <reachlead/retrybudget.h>
 
 namespace reachlead {
 
 /// The small parts that decisions are made of.
-class PartsTest : public CppUnit::TestFixture
+class ComponentsTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(PartsTest);
+    CPPUNIT_TEST_SUITE(ComponentsTest);
     CPPUNIT_TEST(circuitOpensProbesAndHeals);
     CPPUNIT_TEST(lifeAllowsOnlyItsMoves);
     CPPUNIT_TEST(windowFollowsTheTokenTime);
@@ -41,16 +41,16 @@
             circuit.failed(start);
         }
         CPPUNIT_ASSERT(!circuit.allows(start));
-        const Time later = start + Circuit::firstPause;
+        const Time later = start + Circuit::initialOpenDuration;
         CPPUNIT_ASSERT(circuit.allows(later));
         circuit.sent();
         CPPUNIT_ASSERT(!circuit.allows(later)); // one probe at a time
         circuit.failed(later);
-        CPPUNIT_ASSERT(!circuit.allows(later + Circuit::firstPause)); // the pause doubled
-        CPPUNIT_ASSERT(circuit.allows(later + 2 * Circuit::firstPause));
+        CPPUNIT_ASSERT(!circuit.allows(later + Circuit::initialOpenDuration)); // the pause doubled
+        CPPUNIT_ASSERT(circuit.allows(later + 2 * Circuit::initialOpenDuration));
         circuit.sent();
         circuit.abandoned(); // the probe's caller went away: another may go
-        CPPUNIT_ASSERT(circuit.allows(later + 2 * Circuit::firstPause));
+        CPPUNIT_ASSERT(circuit.allows(later + 2 * Circuit::initialOpenDuration));
         circuit.sent();
         circuit.succeeded();
         CPPUNIT_ASSERT_EQUAL(std::string("closed"), std::string(circuit.state()));
@@ -58,20 +58,20 @@
 
     void lifeAllowsOnlyItsMoves()
     {
-        RequestLife life;
-        CPPUNIT_ASSERT(life.state() == LifeState::Queued);
-        CPPUNIT_ASSERT(!life.apply(LifeEvent::Began));
-        CPPUNIT_ASSERT(life.apply(LifeEvent::Bound));
-        CPPUNIT_ASSERT(life.state() == LifeState::Sent);
-        CPPUNIT_ASSERT(life.apply(LifeEvent::Began));
-        CPPUNIT_ASSERT(life.state() == LifeState::Running);
-        CPPUNIT_ASSERT(life.apply(LifeEvent::SessionCut));
-        CPPUNIT_ASSERT(life.state() == LifeState::Recovering);
-        CPPUNIT_ASSERT(life.apply(LifeEvent::Found));
-        CPPUNIT_ASSERT(life.apply(LifeEvent::Finished));
-        CPPUNIT_ASSERT(life.state() == LifeState::Ended);
-        CPPUNIT_ASSERT(!life.apply(LifeEvent::PutBack));
-        CPPUNIT_ASSERT(!life.apply(LifeEvent::Finished)); // the final word is told once
+        RequestLifecycle life;
+        CPPUNIT_ASSERT(life.state() == RequestState::Queued);
+        CPPUNIT_ASSERT(!life.apply(RequestEvent::ExecutionStarted));
+        CPPUNIT_ASSERT(life.apply(RequestEvent::Assigned));
+        CPPUNIT_ASSERT(life.state() == RequestState::Sent);
+        CPPUNIT_ASSERT(life.apply(RequestEvent::ExecutionStarted));
+        CPPUNIT_ASSERT(life.state() == RequestState::Running);
+        CPPUNIT_ASSERT(life.apply(RequestEvent::SessionLost));
+        CPPUNIT_ASSERT(life.state() == RequestState::Recovering);
+        CPPUNIT_ASSERT(life.apply(RequestEvent::Recovered));
+        CPPUNIT_ASSERT(life.apply(RequestEvent::Finished));
+        CPPUNIT_ASSERT(life.state() == RequestState::Ended);
+        CPPUNIT_ASSERT(!life.apply(RequestEvent::Requeued));
+        CPPUNIT_ASSERT(!life.apply(RequestEvent::Finished)); // the final word is told once
     }
 
     void windowFollowsTheTokenTime()
@@ -81,10 +81,10 @@
         Time now = start;
         const auto feel = [&](Duration gap, unsigned rounds) {
             for (unsigned n = 0; n < rounds; ++n) {
-                now += AdmissionWindow::interval + gap;
+                now += AdmissionWindow::adjustInterval + gap;
                 for (unsigned k = 0; k < 100; ++k)
                     window.observe(gap, now);
-                window.steer(now, window.size(), target);
+                window.adjust(now, window.size(), target);
             }
         };
         feel(milliseconds(40), 3);
@@ -134,7 +134,7 @@
         std::size_t taken = 0;
         for (unsigned router = 0; router < 3; ++router) {
             AccountLimiter limiter(policies);
-            limiter.setPart(1.0 / 3);
+            limiter.setLimitShare(1.0 / 3);
             while (limiter.acquire(AccountName("one"), start) == ErrorKind::None)
                 ++taken;
         }
@@ -164,12 +164,12 @@
         candidates[2] = {VmName("idle"), true, 8, 0, 1.0, 0};
         std::map<std::size_t, unsigned> chosen;
         for (unsigned n = 0; n < 400; ++n)
-            ++chosen[*placement->choose(candidates, random)];
+            ++chosen[*placement->select(candidates, random)];
         CPPUNIT_ASSERT_EQUAL(0U, chosen[0]); // another zone only when the own has no room
         CPPUNIT_ASSERT(chosen[2] > 2 * chosen[1]);
         candidates.resize(1);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, *placement->choose(candidates, random));
-        CPPUNIT_ASSERT(!placement->choose({}, random));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, *placement->select(candidates, random));
+        CPPUNIT_ASSERT(!placement->select({}, random));
         const Candidate slow{VmName("slow"), true, 8, 0, 10.0, 0};
         CPPUNIT_ASSERT(placementCost(slow) > placementCost(candidates[0]));
     }
@@ -201,10 +201,10 @@
             ++taken;
         CPPUNIT_ASSERT_EQUAL(10U, taken);
         for (unsigned n = 0; n < 100; ++n)
-            budget.firstTry();
+            budget.recordFirstAttempt();
         CPPUNIT_ASSERT(budget.take());
-        CPPUNIT_ASSERT(retryPause(1) == Duration(milliseconds(20)));
-        CPPUNIT_ASSERT(retryPause(100) == Duration(milliseconds(1280)));
+        CPPUNIT_ASSERT(maxRetryBackoff(1) == Duration(milliseconds(20)));
+        CPPUNIT_ASSERT(maxRetryBackoff(100) == Duration(milliseconds(1280)));
     }
 
     void keysAreChecked()
@@ -213,16 +213,16 @@
         AccountPolicy &one = policies->accounts[AccountName("one")];
         one.keySalt = "salt";
         one.keyHash = hashSecret("salt", "secret");
-        CPPUNIT_ASSERT(accountOfKey(*policies, "one:secret") == &one);
-        CPPUNIT_ASSERT(!accountOfKey(*policies, "one:other"));
-        CPPUNIT_ASSERT(!accountOfKey(*policies, "two:secret"));
-        CPPUNIT_ASSERT(!accountOfKey(*policies, "nobody:secret"));
-        CPPUNIT_ASSERT(!accountOfKey(*policies, "one"));
-        CPPUNIT_ASSERT(!accountOfKey(*policies, ""));
+        CPPUNIT_ASSERT(findAccountByKey(*policies, "one:secret") == &one);
+        CPPUNIT_ASSERT(!findAccountByKey(*policies, "one:other"));
+        CPPUNIT_ASSERT(!findAccountByKey(*policies, "two:secret"));
+        CPPUNIT_ASSERT(!findAccountByKey(*policies, "nobody:secret"));
+        CPPUNIT_ASSERT(!findAccountByKey(*policies, "one"));
+        CPPUNIT_ASSERT(!findAccountByKey(*policies, ""));
         CPPUNIT_ASSERT(randomHex(8) != randomHex(8));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PartsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ComponentsTest);
 
 } // namespace reachlead
--- a/src/libreachlead/counters.cpp
+++ b/src/libreachlead/counters.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(Count::Size)> countNames{
+constexpr std::array<std::string_view, static_cast<std::size_t>(Counter::Size)> countNames{
     "requests_accepted",   "requests_completed",
     "dispatched",          "tokens_delivered",
     "tokens_wasted",       "stale_frames",
@@ -37,7 +37,7 @@
 
 } // namespace
 
-void Counters::add(Count c, std::uint64_t n)
+void Counters::add(Counter c, std::uint64_t n)
 {
     m_counts[static_cast<std::size_t>(c)].fetch_add(n, std::memory_order_relaxed);
 }
@@ -57,12 +57,12 @@
     m_gauges[static_cast<std::size_t>(g)].store(value, std::memory_order_relaxed);
 }
 
-void Counters::shift(Gauge g, std::int64_t by)
+void Counters::adjust(Gauge g, std::int64_t by)
 {
     m_gauges[static_cast<std::size_t>(g)].fetch_add(by, std::memory_order_relaxed);
 }
 
-std::uint64_t Counters::value(Count c) const
+std::uint64_t Counters::value(Counter c) const
 {
     return m_counts[static_cast<std::size_t>(c)].load(std::memory_order_relaxed);
 }
--- a/src/libreachlead/crashreport.cpp
+++ b/src/libreachlead/crashhandler.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/crashreport.h>
+#include <reachlead/crashhandler.h>
 
 #include <array>
 #include <csignal>
@@ -37,7 +37,7 @@
 
 } // namespace
 
-void reportCrashes()
+void installCrashHandler()
 {
     // The first call loads a library, which must not happen inside the handler.
     std::array<void *, 1> frames{};
--- a/src/libreachlead/quietengines.cpp
+++ b/src/libreachlead/dedicatedengines.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/quietengines.h>
+#include <reachlead/dedicatedengines.h>
 
 #include <algorithm>
 #include <cmath>
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void QuietEngines::setDemand(const std::map<ServiceName, Demand> &demand, Time now)
+void DedicatedEngines::setDemand(const std::map<ServiceName, Demand> &demand, Time now)
 {
     m_lookedAt = now;
     for (auto &[name, service] : m_services) {
@@ -36,7 +36,7 @@
     }
 }
 
-bool QuietEngines::isQuiet(const ServiceName &service, const UpstreamId &id) const
+bool DedicatedEngines::isQuiet(const ServiceName &service, const UpstreamId &id) const
 {
     const auto it = m_services.find(service);
     return it != m_services.end() && it->second.quiet.contains(id);
@@ -44,11 +44,11 @@
 
 /// All engines in the order in which they become quiet: by a hash over their ids within a zone,
 /// zone by zone in turn.
-std::vector<QuietEngines::Ranked> QuietEngines::rank(const ServiceName &service,
-                                                     const UpstreamDirectory &directory)
+std::vector<DedicatedEngines::Ranked> DedicatedEngines::rank(const ServiceName &service,
+                                                             const UpstreamDirectory &directory)
 {
     std::map<ZoneName, std::vector<const UpstreamEntry *>> byZone;
-    for (const UpstreamEntry *entry : directory.usableOf(service))
+    for (const UpstreamEntry *entry : directory.usableUpstreams(service))
         byZone[entry->zone].push_back(entry);
     std::vector<std::tuple<std::size_t, std::uint64_t, const UpstreamEntry *>> order;
     for (std::vector<const UpstreamEntry *> &engines : byZone | std::views::values) {
@@ -66,7 +66,7 @@
 
 /// Engines whose planned places hold the streams that run; where both kinds together need more than
 /// there are, each gets its part.
-std::size_t QuietEngines::wanted(const Service &service) const
+std::size_t DedicatedEngines::wanted(const Service &service) const
 {
     const auto all = static_cast<double>(service.ranked.size());
     const double slots =
@@ -74,25 +74,25 @@
                               [](const Ranked &it) { return static_cast<double>(it.slots); });
     if (slots <= 0)
         return 0;
-    const double forBrief = service.demand.brief / (m_settings.fill * slots / all);
-    const double forLong = service.demand.backlog / m_settings.backlog;
+    const double forBrief = service.demand.brief / (m_settings.targetUtilization * slots / all);
+    const double forLong = service.demand.backlog / m_settings.backlogPerEngineMs;
     const double both = forBrief + forLong;
     const double quiet = both > all ? all * forBrief / both : std::ceil(forBrief);
-    const double least = std::round(m_settings.leastPart * all);
+    const double least = std::round(m_settings.minShare * all);
     return static_cast<std::size_t>(std::round(std::clamp(quiet, least, all - least)));
 }
 
-void QuietEngines::resize(Service *service, std::size_t size)
+void DedicatedEngines::resize(Service *service, std::size_t size)
 {
     service->quiet.clear();
     for (const Ranked &engine : service->ranked | std::views::take(size))
         service->quiet.insert(engine.id);
 }
 
-const std::set<UpstreamId> &QuietEngines::of(const ServiceName &service,
-                                             const UpstreamDirectory &directory, Time now)
+const std::set<UpstreamId> &DedicatedEngines::of(const ServiceName &service,
+                                                 const UpstreamDirectory &directory, Time now)
 {
-    if (std::exchange(m_rankedAt, directory.changes()) != directory.changes()) {
+    if (std::exchange(m_rankedAt, directory.changeCount()) != directory.changeCount()) {
         for (Service &it : m_services | std::views::values)
             it.ranked.clear();
     }
--- a/src/libreachlead/quietengines_test.cpp
+++ b/src/libreachlead/dedicatedengines_test.cpp
@@ -7,7 +7,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/quietengines.h>
+#include <reachlead/dedicatedengines.h>
 
 namespace reachlead {
 
@@ -43,7 +43,7 @@
         return made;
     }
 
-    static const std::set<UpstreamId> &quietFor(QuietEngines *engines,
+    static const std::set<UpstreamId> &quietFor(DedicatedEngines *engines,
                                                 const UpstreamDirectory &upstreams, double brief,
                                                 Time now, double backlog = 0)
     {
@@ -56,7 +56,7 @@
     void aTenthIsQuietWithoutDemand()
     {
         const UpstreamDirectory upstreams = directory(50);
-        QuietEngines engines({});
+        DedicatedEngines engines({});
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, quietFor(&engines, upstreams, 0, start).size());
     }
 
@@ -64,7 +64,7 @@
     void burstOfShortPromptsGetsItsPlacesAtOnce()
     {
         const UpstreamDirectory upstreams = directory(55);
-        QuietEngines engines({});
+        DedicatedEngines engines({});
         for (const double running : {228.0, 456.0}) {
             const std::size_t quiet = quietFor(&engines, upstreams, running, start).size();
             CPPUNIT_ASSERT(static_cast<double>(quiet) * slots >= running / 0.6);
@@ -75,12 +75,12 @@
     void longPromptsKeepTheirPart()
     {
         const UpstreamDirectory upstreams = directory(10);
-        QuietEngines engines({});
+        DedicatedEngines engines({});
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, quietFor(&engines, upstreams, 1e6, start).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, quietFor(&engines, upstreams, 1e6, start, 1).size());
         // Both kinds ask for twice of what there is: 20 engines each.
         const double brief = 20 * 0.6 * slots;
-        const Time later = start + QuietEngines::shrinkPause;
+        const Time later = start + DedicatedEngines::shrinkPause;
         CPPUNIT_ASSERT_EQUAL(std::size_t{5},
                              quietFor(&engines, upstreams, brief, later, 20 * 200.0).size());
     }
@@ -89,9 +89,9 @@
     void numberFallsAfterAPause()
     {
         const UpstreamDirectory upstreams = directory(55);
-        QuietEngines engines({});
+        DedicatedEngines engines({});
         const std::size_t most = quietFor(&engines, upstreams, 400, start).size();
-        Time now = start + QuietEngines::shrinkPause - milliseconds(1);
+        Time now = start + DedicatedEngines::shrinkPause - milliseconds(1);
         CPPUNIT_ASSERT_EQUAL(most, quietFor(&engines, upstreams, 100, now).size());
         now += milliseconds(1);
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, quietFor(&engines, upstreams, 100, now).size());
@@ -99,7 +99,7 @@
         const std::size_t again = quietFor(&engines, upstreams, 400, now).size();
         now += milliseconds(500);
         CPPUNIT_ASSERT_EQUAL(again, quietFor(&engines, upstreams, 100, now).size());
-        now += QuietEngines::shrinkPause - milliseconds(500);
+        now += DedicatedEngines::shrinkPause - milliseconds(500);
         CPPUNIT_ASSERT_EQUAL(again, quietFor(&engines, upstreams, 400, now).size());
     }
 
@@ -107,8 +107,8 @@
     void moreDemandOnlyAddsEngines()
     {
         const UpstreamDirectory upstreams = directory(55);
-        QuietEngines one({});
-        QuietEngines two({});
+        DedicatedEngines one({});
+        DedicatedEngines two({});
         const std::set<UpstreamId> fewer = quietFor(&one, upstreams, 200, start);
         const std::set<UpstreamId> more = quietFor(&two, upstreams, 240, start);
         CPPUNIT_ASSERT(std::ranges::includes(more, fewer));
@@ -118,7 +118,7 @@
     void zonesTakeTurns()
     {
         const UpstreamDirectory upstreams = directory(30);
-        QuietEngines engines({});
+        DedicatedEngines engines({});
         std::set<ZoneName> zones;
         for (const UpstreamId &id : quietFor(&engines, upstreams, 0, start))
             zones.insert(upstreams.find(id)->zone);
@@ -128,10 +128,10 @@
     void changedSetKeepsTheNumber()
     {
         UpstreamDirectory upstreams = directory(55);
-        QuietEngines engines({});
+        DedicatedEngines engines({});
         const std::size_t before = quietFor(&engines, upstreams, 228, start).size();
         UpstreamEntry gone = *upstreams.find(UpstreamId("u0"));
-        upstreams.apply({{gone, true}}, 2, start);
+        upstreams.applyChanges({{gone, true}}, 2, start);
         const auto &after = engines.of(ServiceName("llm"), upstreams, start);
         CPPUNIT_ASSERT_EQUAL(before, after.size());
         CPPUNIT_ASSERT(!after.contains(UpstreamId("u0")));
--- a/src/libreachlead/earlyrefusal.cpp
+++ b/src/libreachlead/earlyrefusal.cpp
@@ -7,13 +7,13 @@
 
 namespace reachlead {
 
-std::optional<Duration> EarlyRefusal::decide(const Patience &patience, Duration wait) const
+std::optional<Duration> EarlyRefusal::decide(const LatencySlack &patience, Duration wait) const
 {
-    if (targets <= 0 || patience.target <= Duration{})
+    if (waitTargets <= 0 || patience.target <= Duration{})
         return std::nullopt;
     const double promised = toSeconds(patience.target);
-    const double byTarget = promised * (patience.isMostUrgent ? urgentTargets : targets);
-    const double byPatience = toSeconds(patience.left) * (1.0 - answerPart);
+    const double byTarget = promised * (patience.isMostUrgent ? urgentWaitTargets : waitTargets);
+    const double byPatience = toSeconds(patience.timeLeft) * (1.0 - answerPart);
     const double bearable = std::min(byTarget, std::max(promised, byPatience));
     if (toSeconds(wait) <= bearable)
         return std::nullopt;
--- a/src/libreachlead/earlyrefusal_test.cpp
+++ b/src/libreachlead/earlyrefusal_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <reachlead/earlyrefusal.h>
-#include <reachlead/servicepace.h>
+#include <reachlead/servicerate.h>
 
 namespace reachlead {
 
@@ -23,14 +23,14 @@
     CPPUNIT_TEST(engineAtTwiceItsPowerServesAllItCan);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr Patience usual{milliseconds(600), seconds(6), false};
+    static constexpr LatencySlack usual{milliseconds(600), seconds(6), false};
 
     /// Bounds of a quarter of the target, and of a whole one for the most urgent.
     static EarlyRefusal quarter()
     {
         EarlyRefusal made;
-        made.targets = 0.25;
-        made.urgentTargets = 1.0;
+        made.waitTargets = 0.25;
+        made.urgentWaitTargets = 1.0;
         return made;
     }
 
@@ -49,7 +49,7 @@
 
     void mostUrgentAreRefusedLast()
     {
-        const Patience urgent{milliseconds(600), seconds(15), true};
+        const LatencySlack urgent{milliseconds(600), seconds(15), true};
         CPPUNIT_ASSERT(!quarter().decide(urgent, milliseconds(600)));
         CPPUNIT_ASSERT(quarter().decide(urgent, milliseconds(610)));
         CPPUNIT_ASSERT(quarter().decide(usual, milliseconds(600)));
@@ -58,9 +58,9 @@
     void impatientCallerIsToldSooner()
     {
         EarlyRefusal lenient;
-        lenient.targets = 4.0;
-        const Patience patient{milliseconds(600), seconds(15), false};
-        const Patience impatient{milliseconds(600), seconds(3), false};
+        lenient.waitTargets = 4.0;
+        const LatencySlack patient{milliseconds(600), seconds(15), false};
+        const LatencySlack impatient{milliseconds(600), seconds(3), false};
         CPPUNIT_ASSERT(!lenient.decide(patient, milliseconds(2400)));
         CPPUNIT_ASSERT(!lenient.decide(impatient, milliseconds(1500)));
         CPPUNIT_ASSERT(lenient.decide(impatient, milliseconds(1600)));
@@ -74,13 +74,13 @@
     void switchedOffItRefusesNothing()
     {
         EarlyRefusal off;
-        off.targets = 0;
+        off.waitTargets = 0;
         CPPUNIT_ASSERT(!off.decide(usual, seconds(60)));
     }
 
     void paceFollowsWhatWasSeen()
     {
-        ServicePace pace(35.0);
+        ServiceRate pace(35.0);
         CPPUNIT_ASSERT(pace.waitFor(35'000, 0, 64, 0) == seconds(1));
         for (int n = 0; n < 20; ++n)
             pace.note({20'000, 1000, 0, 0});
@@ -91,7 +91,7 @@
 
     void fullPlacesAreWaitedFor()
     {
-        ServicePace pace(35.0);
+        ServiceRate pace(35.0);
         CPPUNIT_ASSERT(pace.waitFor(0, 64, 64, 0) == Duration{}); // unknown how long they are held
         pace.note({0, 0, 4, 12'800}); // 3.2 s each
         CPPUNIT_ASSERT(pace.waitFor(0, 63, 64, 0) == Duration{});
@@ -106,7 +106,7 @@
     {
         constexpr Duration work = milliseconds(200);
         constexpr Duration arrival = milliseconds(100);
-        ServicePace pace(20.0);
+        ServiceRate pace(20.0);
         Duration backlog{};
         int inTime = 0;
         for (Duration now{}; now < seconds(60); now += arrival) {
@@ -124,7 +124,7 @@
     {
         constexpr int power = 300; // prompts that it can read in a minute
         EarlyRefusal off;
-        off.targets = 0;
+        off.waitTargets = 0;
         CPPUNIT_ASSERT(served(off) < power / 10);
         CPPUNIT_ASSERT(served(EarlyRefusal()) >= power * 9 / 10);
     }
--- a/src/libreachlead/error.cpp
+++ b/src/libreachlead/error.cpp
@@ -82,7 +82,7 @@
      "Another request holds this key, and its answer is not held here."},
     {OutcomeUnknown, "outcome-unknown", 504, unknown, never,
      "It cannot be known whether the request ran."},
-    {CallerGone, "caller-gone", 499, unknown, never, "The caller went away."},
+    {CallerDisconnected, "caller-gone", 499, unknown, never, "The caller went away."},
     {Superseded, "superseded", 409, notRun, never, "A newer session took the request over."},
     {AnswerCorrupt, "answer-corrupt", 502, ran, never, "The answer failed its check."},
     {Internal, "internal", 500, unknown, never, "The router failed."},
@@ -105,7 +105,7 @@
     return table[std::min(static_cast<std::size_t>(kind), errorKindCount - 1)];
 }
 
-std::optional<ErrorKind> errorKindOf(std::string_view name)
+std::optional<ErrorKind> parseErrorKind(std::string_view name)
 {
     const auto it = std::ranges::find(table, name, &ErrorRow::name);
     if (it == table.end())
--- a/src/libreachlead/error_test.cpp
+++ b/src/libreachlead/error_test.cpp
@@ -29,7 +29,7 @@
             const ErrorRow &row = errorRow(kind);
             CPPUNIT_ASSERT(row.kind == kind);
             CPPUNIT_ASSERT(names.insert(row.name).second);
-            CPPUNIT_ASSERT(errorKindOf(row.name) == kind);
+            CPPUNIT_ASSERT(parseErrorKind(row.name) == kind);
             // Who is told to come back must be told something temporary.
             if (row.retryAfter)
                 CPPUNIT_ASSERT(row.status == 409 || row.status == 429 || row.status >= 500);
--- a/src/libreachlead/evacuations.cpp
+++ b/src/libreachlead/evacuations.cpp
@@ -7,7 +7,7 @@
 
 namespace reachlead {
 
-std::uint32_t Evacuations::mark() const
+std::uint32_t Evacuations::checksum() const
 {
     std::uint32_t mark = 0;
     for (const ZoneName &zone : m_zones)
--- a/src/libreachlead/evacuations_test.cpp
+++ b/src/libreachlead/evacuations_test.cpp
@@ -67,19 +67,19 @@
 
     static std::size_t usable(const GatewayState &state)
     {
-        return state.directory().usableOf(ServiceName("s")).size();
+        return state.directory().usableUpstreams(ServiceName("s")).size();
     }
 
     void olderSetNeverReplacesANewerOne()
     {
         Evacuations known;
         CPPUNIT_ASSERT(!known.isKnown());
-        CPPUNIT_ASSERT(known.read(zones({"a"}), 10));
-        CPPUNIT_ASSERT(known.read(zones({}), 20)); // taken back
-        CPPUNIT_ASSERT(!known.take({10, zones({"a"})})); // a peer that has not heard of it
-        CPPUNIT_ASSERT(!known.read(zones({"a"}), 15));
+        CPPUNIT_ASSERT(known.setFromPlatform(zones({"a"}), 10));
+        CPPUNIT_ASSERT(known.setFromPlatform(zones({}), 20)); // taken back
+        CPPUNIT_ASSERT(!known.applyUpdate({10, zones({"a"})})); // a peer that has not heard of it
+        CPPUNIT_ASSERT(!known.setFromPlatform(zones({"a"}), 15));
         CPPUNIT_ASSERT(known.zones().empty());
-        CPPUNIT_ASSERT(known.take({30, zones({"a"})})); // set again
+        CPPUNIT_ASSERT(known.applyUpdate({30, zones({"a"})})); // set again
         CPPUNIT_ASSERT(known.zones() == zones({"a"}));
     }
 
@@ -88,20 +88,21 @@
     {
         Evacuations first;
         Evacuations second;
-        first.read({}, 100);
-        second.read({}, 250);
-        CPPUNIT_ASSERT(second.revision() <= first.readAt());
-        CPPUNIT_ASSERT(first.revision() <= second.readAt());
-        second.read({}, 400);
-        CPPUNIT_ASSERT(second.revision() <= first.readAt());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, second.newsSince(first.readAt()).revision);
+        first.setFromPlatform({}, 100);
+        second.setFromPlatform({}, 250);
+        CPPUNIT_ASSERT(second.revision() <= first.readRevision());
+        CPPUNIT_ASSERT(first.revision() <= second.readRevision());
+        second.setFromPlatform({}, 400);
+        CPPUNIT_ASSERT(second.revision() <= first.readRevision());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, second.updateSince(first.readRevision()).revision);
     }
 
     void setThatChangedBeforeItWasReadHereIsOld()
     {
         Evacuations known;
-        known.read({}, 50); // after the end of an evacuation that a peer still believes in
-        CPPUNIT_ASSERT(!known.take({40, zones({"a"})}));
+        known.setFromPlatform({},
+                              50); // after the end of an evacuation that a peer still believes in
+        CPPUNIT_ASSERT(!known.applyUpdate({40, zones({"a"})}));
         CPPUNIT_ASSERT(known.zones().empty());
     }
 
@@ -110,16 +111,16 @@
     void firstReaderAfterTheEndTellsTheOthers()
     {
         Evacuations old;
-        old.read(zones({"a"}), 40);
+        old.setFromPlatform(zones({"a"}), 40);
         Evacuations fresh;
-        fresh.read({}, 60);
-        fresh.compare(old.revision(), old.mark());
-        CPPUNIT_ASSERT(fresh.revision() > old.readAt());
-        CPPUNIT_ASSERT(old.take(fresh.newsSince(old.readAt())));
+        fresh.setFromPlatform({}, 60);
+        fresh.compareWithPeer(old.revision(), old.checksum());
+        CPPUNIT_ASSERT(fresh.revision() > old.readRevision());
+        CPPUNIT_ASSERT(old.applyUpdate(fresh.updateSince(old.readRevision())));
         CPPUNIT_ASSERT(old.zones().empty());
         Evacuations next;
-        next.read({}, 90);
-        next.compare(fresh.revision(), fresh.mark()); // the same set: no news
+        next.setFromPlatform({}, 90);
+        next.compareWithPeer(fresh.revision(), fresh.checksum()); // the same set: no news
         CPPUNIT_ASSERT_EQUAL(fresh.revision(), next.revision());
     }
 
@@ -147,25 +148,25 @@
                 Evacuations &reader = all[draw(gateways)];
                 const std::uint64_t asOf = revision - std::min<std::uint64_t>(revision, draw(8));
                 if (draw(3) == 0 && history.lower_bound(asOf) != history.begin())
-                    reader.read(
+                    reader.setFromPlatform(
                         std::prev(history.upper_bound(std::max<std::uint64_t>(asOf, 5)))->second,
                         std::max<std::uint64_t>(asOf, 5));
                 const Evacuations &teller = all[draw(gateways)];
                 Evacuations &hearer = all[draw(gateways)];
-                hearer.compare(teller.revision(), teller.mark());
-                if (teller.revision() > hearer.readAt())
-                    hearer.take(teller.newsSince(hearer.readAt()));
-                const auto at = history.upper_bound(hearer.readAt());
+                hearer.compareWithPeer(teller.revision(), teller.checksum());
+                if (teller.revision() > hearer.readRevision())
+                    hearer.applyUpdate(teller.updateSince(hearer.readRevision()));
+                const auto at = history.upper_bound(hearer.readRevision());
                 if (hearer.isKnown() && at != history.begin())
                     CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {} step {}", seed, n),
                                            std::prev(at)->second == hearer.zones()
                                                || hearer.revision() == 1);
             }
-            all[0].read(history.rbegin()->second, revision);
+            all[0].setFromPlatform(history.rbegin()->second, revision);
             for (const Evacuations &teller : all)
-                all[0].compare(teller.revision(), teller.mark());
+                all[0].compareWithPeer(teller.revision(), teller.checksum());
             for (Evacuations &hearer : all)
-                hearer.take(all[0].newsSince(hearer.readAt()));
+                hearer.applyUpdate(all[0].updateSince(hearer.readRevision()));
             for (const Evacuations &it : all)
                 CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}", seed),
                                        !it.isKnown() || it.zones() == history.rbegin()->second);
@@ -176,20 +177,20 @@
     {
         GatewayState state({});
         std::vector<UpstreamId> left;
-        state.onUpstreamsLeft([&](const std::vector<UpstreamId> &ids) { left = ids; });
+        state.onUpstreamsWithdrawn([&](const std::vector<UpstreamId> &ids) { left = ids; });
         state.upstreamsListed(entries(), 10);
         state.evacuationsRead(zones({"a"}), 11);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, usable(state));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, left.size()); // idle connections there are closed
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, state.directory().entries().size());
-        const ChoiceAsk ask{ServiceName("s"), "m", {}};
+        const SelectionQuery ask{ServiceName("s"), "m", {}};
         for (int n = 0; n < 20; ++n) {
-            const auto choice = state.book().choose(ask, state.directory(), start);
+            const auto choice = state.upstreams().select(ask, state.directory(), start);
             CPPUNIT_ASSERT(choice && choice->upstream.text[0] == 'b');
-            state.book().sent(choice->upstream, ask, *choice, start);
+            state.upstreams().sent(choice->upstream, ask, *choice, start);
         }
         state.evacuationsRead(zones({"a", "b"}), 12);
-        CPPUNIT_ASSERT(!state.book().choose(ask, state.directory(), start));
+        CPPUNIT_ASSERT(!state.upstreams().select(ask, state.directory(), start));
     }
 
     void zoneThatIsTakenBackIsUsedAgain()
@@ -217,11 +218,11 @@
         teller.upstreamsListed(entries(), 10);
         teller.evacuationsRead(zones({"a"}), 11);
         GatewayState hearer({});
-        hearer.peerTold(VmName("teller"), teller.newsSince(hearer.versions()));
+        hearer.applyPeerUpdate(VmName("teller"), teller.updateSince(hearer.versions()));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, usable(hearer));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, hearer.versions().evacuations);
         teller.evacuationsRead({}, 15);
-        hearer.peerTold(VmName("teller"), teller.newsSince(hearer.versions()));
+        hearer.applyPeerUpdate(VmName("teller"), teller.updateSince(hearer.versions()));
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, usable(hearer));
     }
 
@@ -248,28 +249,28 @@
         LoadByUpstream load;
         for (const char *id : {"a2", "b1", "b2"})
             load[UpstreamId(id)] = {60, 0, 0};
-        state.book().setPeerLoad(VmName("p"), {load, 0}, start, std::chrono::hours(1));
+        state.upstreams().setPeerLoad(VmName("p"), {load, 0}, start, std::chrono::hours(1));
         state.evacuationsRead(zones({"a"}), 11);
         state.evacuationsRead({}, 12);
         ServiceInfo info;
-        info.coldPerSecond = 5;
-        ChoiceAsk ask{ServiceName("s"), "m", {}, nullptr, &info};
-        ask.placesForAll = true;
+        info.coldCallsPerSecond = 5;
+        SelectionQuery ask{ServiceName("s"), "m", {}, nullptr, &info};
+        ask.isGroupScheduler = true;
         const auto callsIn = [&](Time from) {
             int got = 0;
             for (int n = 0; n < 50; ++n) {
                 const Time now = from + n * milliseconds(20);
-                const auto choice = state.book().choose(ask, state.directory(), now);
+                const auto choice = state.upstreams().select(ask, state.directory(), now);
                 CPPUNIT_ASSERT(choice.has_value());
-                state.book().sent(choice->upstream, ask, *choice, now);
-                state.book().ended(choice->upstream, 0, false);
+                state.upstreams().sent(choice->upstream, ask, *choice, now);
+                state.upstreams().ended(choice->upstream, 0, false);
                 got += choice->upstream.text == "a1" ? 1 : 0;
             }
             return got;
         };
         const int first = callsIn(start);
         CPPUNIT_ASSERT(first > 0 && first <= 5);
-        CPPUNIT_ASSERT_EQUAL(50, callsIn(start + UpstreamBook::coldDoubt));
+        CPPUNIT_ASSERT_EQUAL(50, callsIn(start + UpstreamTable::coldDoubt));
     }
 
     void allowedRegionsOfRouteAndAccountBothBind()
@@ -317,14 +318,15 @@
             ServiceInfo info;
             info.engineTokenBytes = 10'000;
             info.engineLinkMbps = 100'000;
-            ChoiceAsk ask{ServiceName("s"), "m", prompt, nullptr, &info};
+            SelectionQuery ask{ServiceName("s"), "m", prompt, nullptr, &info};
             for (int k = 0; k < 4; ++k) { // caches anywhere, from before
-                const auto choice = state.book().choose(ask, state.directory(), start);
-                state.book().sent(choice->upstream, ask, *choice, start);
+                const auto choice = state.upstreams().select(ask, state.directory(), start);
+                state.upstreams().sent(choice->upstream, ask, *choice, start);
             }
             state.evacuationsRead(evacuated, 11);
-            ask.zones = &allowed;
-            const auto choice = state.book().choose(ask, state.directory(), start + seconds(9));
+            ask.permittedZones = &allowed;
+            const auto choice =
+                state.upstreams().select(ask, state.directory(), start + seconds(9));
             const auto isFit = [&](const UpstreamId &id) {
                 const ZoneName &zone = state.directory().find(id)->zone;
                 return allowed.contains(zone) && !evacuated.contains(zone);
--- a/src/libreachlead/eventsplitter.cpp
+++ b/src/libreachlead/eventsplitter.cpp
@@ -27,7 +27,7 @@
     const std::size_t end = endOfWhole(m_held);
     std::string whole = m_held.substr(0, end);
     m_held.erase(0, end);
-    *tooLong = m_held.size() > mostHeld;
+    *tooLong = m_held.size() > maxEventBytes;
     noteEvents(whole);
     return whole;
 }
--- a/src/libreachlead/fifoqueue.cpp
+++ b/src/libreachlead/fifoqueue.cpp
@@ -52,7 +52,7 @@
                        double /*tokens*/)
 { }
 
-std::size_t FifoQueue::ahead(Tier tier) const
+std::size_t FifoQueue::sizeAtOrAbove(Tier tier) const
 {
     if (m_tiers == Tiers::Mixed)
         return m_places.size();
--- a/src/libreachlead/fifoqueue.h
+++ b/src/libreachlead/fifoqueue.h
@@ -30,7 +30,7 @@
     bool remove(const RequestId &id) override;
     void charge(const ClassName &cls, const AccountName &account, double tokens) override;
     std::size_t size() const override { return m_places.size(); }
-    std::size_t ahead(Tier tier) const override;
+    std::size_t sizeAtOrAbove(Tier tier) const override;
     std::size_t waiting(const ClassName &cls, const AccountName &account) const override;
 
 private:
--- a/src/libreachlead/fleetkeys.cpp
+++ b/src/libreachlead/fleetkeys.cpp
@@ -58,8 +58,8 @@
     for (std::string line; std::getline(in, line);) {
         if (line.empty() || line.front() == '#')
             continue;
-        if (line.size() < shortestKey) {
-            *reason = fmt::format("expected keys of at least {} bytes", shortestKey);
+        if (line.size() < minKeySize) {
+            *reason = fmt::format("expected keys of at least {} bytes", minKeySize);
             return std::nullopt;
         }
         keys.m_keys.push_back(line);
--- a/src/libreachlead/fleettime.cpp
+++ b/src/libreachlead/fleettime.cpp
@@ -28,7 +28,7 @@
     return std::chrono::duration_cast<milliseconds>(now).count();
 }
 
-void FleetTime::note(const VmName &vm, UnixMillis clock, Time at)
+void FleetTime::recordClock(const VmName &vm, UnixMillis clock, Time at)
 {
     m_clocks[vm] = {clock - steadyMillis(at), at};
     findMedian();
@@ -54,7 +54,7 @@
 
 void FleetTime::dropOld(Time now)
 {
-    std::erase_if(m_clocks, [&](const auto &it) { return it.second.heard + clockAge < now; });
+    std::erase_if(m_clocks, [&](const auto &it) { return it.second.heard + maxClockAge < now; });
     findMedian();
 }
 
--- a/src/libreachlead/forwardpolicy.cpp
+++ b/src/libreachlead/forwardpolicy.cpp
@@ -17,7 +17,7 @@
     ErrorKind kind = ErrorKind::None;
 };
 
-constexpr std::array<EndRow, static_cast<std::size_t>(SendEnd::Size)> rows{{
+constexpr std::array<EndRow, static_cast<std::size_t>(SendResult::Size)> rows{{
     {"complete", false, ErrorKind::None},
     {"not-connected", true, ErrorKind::NoUpstream},
     {"refused-not-run", true, ErrorKind::AgentBusy},
@@ -27,7 +27,7 @@
     {"stalled", false, ErrorKind::UpstreamStalled},
 }};
 
-const EndRow &rowOf(SendEnd end)
+const EndRow &rowOf(SendResult end)
 {
     return rows[static_cast<std::size_t>(end)];
 }
@@ -40,12 +40,13 @@
     return state.kind == RouteKind::Safe && !state.headDelivered;
 }
 
-bool maySendAgain(SendEnd end, const ForwardState &state)
+bool maySendAgain(SendResult end, const ForwardState &state)
 {
-    if (!state.timeLeft || !state.othersLeft)
+    if (!state.timeLeft || !state.upstreamsLeft)
         return false;
-    if (end == SendEnd::NotConnected)
-        return state.misses < mostMisses && state.absences < mostAbsences;
+    if (end == SendResult::NotConnected)
+        return state.connectFailures < maxConnectFailures
+            && state.connectRefusals < maxConnectRefusals;
     if (state.sends >= state.maxAttempts || !state.retryLeft)
         return false;
     return rowOf(end).provesNotRun || isRepeatable(state);
@@ -53,21 +54,21 @@
 
 } // namespace
 
-std::string_view toString(SendEnd end)
+std::string_view toString(SendResult end)
 {
     return rowOf(end).name;
 }
 
-ForwardDecision afterSend(SendEnd end, const ForwardState &state)
+ForwardDecision nextStep(SendResult end, const ForwardState &state)
 {
     const EndRow &row = rowOf(end);
-    if (end == SendEnd::Complete)
+    if (end == SendResult::Complete)
         return {ForwardStep::Deliver, ErrorKind::None};
     if (maySendAgain(end, state))
-        return {ForwardStep::SendAgain, row.kind};
+        return {ForwardStep::Retry, row.kind};
     if (state.headDelivered)
-        return {ForwardStep::Cut, row.kind};
-    if (end == SendEnd::OwnFailure)
+        return {ForwardStep::Abort, row.kind};
+    if (end == SendResult::ServerError)
         return {ForwardStep::Deliver, ErrorKind::None};
     if (row.provesNotRun && !state.mayHaveRun)
         return {ForwardStep::Refuse, row.kind};
--- a/src/libreachlead/forwardpolicy_test.cpp
+++ b/src/libreachlead/forwardpolicy_test.cpp
@@ -21,13 +21,13 @@
     CPPUNIT_TEST(ownFailureIsDeliveredAsItIs);
     CPPUNIT_TEST_SUITE_END();
 
-    using Check = std::function<void(SendEnd, const ForwardState &, const ForwardDecision &)>;
+    using Check = std::function<void(SendResult, const ForwardState &, const ForwardDecision &)>;
 
     /// Calls \p check for each combination of an end and a state.
     static void forAll(const Check &check)
     {
         for (unsigned bits = 0; bits < 1U << 6U; ++bits) {
-            for (unsigned end = 0; end < static_cast<unsigned>(SendEnd::Size); ++end) {
+            for (unsigned end = 0; end < static_cast<unsigned>(SendResult::Size); ++end) {
                 for (unsigned kind = 0; kind < 3; ++kind) {
                     for (unsigned sends = 0; sends < 4; ++sends) {
                         ForwardState state;
@@ -36,38 +36,38 @@
                         state.headDelivered = (bits & 2U) != 0;
                         state.retryLeft = (bits & 4U) != 0;
                         state.timeLeft = (bits & 8U) != 0;
-                        state.othersLeft = (bits & 16U) != 0;
+                        state.upstreamsLeft = (bits & 16U) != 0;
                         state.mayHaveRun = (bits & 32U) != 0;
                         state.sends = sends;
                         state.maxAttempts = 2;
-                        state.misses = sends;
-                        state.absences = sends * mostAbsences / 3;
-                        const auto sent = static_cast<SendEnd>(end);
-                        check(sent, state, afterSend(sent, state));
+                        state.connectFailures = sends;
+                        state.connectRefusals = sends * maxConnectRefusals / 3;
+                        const auto sent = static_cast<SendResult>(end);
+                        check(sent, state, nextStep(sent, state));
                     }
                 }
             }
         }
     }
 
-    static bool provesNotRun(SendEnd end)
+    static bool provesNotRun(SendResult end)
     {
-        return end == SendEnd::NotConnected || end == SendEnd::RefusedNotRun;
+        return end == SendResult::NotConnected || end == SendResult::RefusedNotRun;
     }
 
     void whatMayHaveRunIsNeverRunAgainUnlessAllowed()
     {
-        forAll([](SendEnd end, const ForwardState &state, const ForwardDecision &decision) {
+        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
             const bool repeatable = state.kind == RouteKind::Safe
                 || (state.kind == RouteKind::Stream && state.resumable);
-            if (decision.step == ForwardStep::SendAgain && !provesNotRun(end))
+            if (decision.step == ForwardStep::Retry && !provesNotRun(end))
                 CPPUNIT_ASSERT(repeatable);
         });
     }
 
     void notRunIsToldOnlyWithProof()
     {
-        forAll([](SendEnd end, const ForwardState &state, const ForwardDecision &decision) {
+        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
             if (decision.step != ForwardStep::Refuse)
                 return;
             CPPUNIT_ASSERT(provesNotRun(end) && !state.mayHaveRun);
@@ -76,11 +76,11 @@
 
     void deliveredHeadIsNeverFollowedByAnother()
     {
-        forAll([](SendEnd end, const ForwardState &state, const ForwardDecision &decision) {
-            if (!state.headDelivered || end == SendEnd::Complete)
+        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
+            if (!state.headDelivered || end == SendResult::Complete)
                 return;
-            const bool goesOn = decision.step == ForwardStep::SendAgain;
-            CPPUNIT_ASSERT(goesOn || decision.step == ForwardStep::Cut);
+            const bool goesOn = decision.step == ForwardStep::Retry;
+            CPPUNIT_ASSERT(goesOn || decision.step == ForwardStep::Abort);
             if (goesOn && !provesNotRun(end))
                 CPPUNIT_ASSERT(state.kind == RouteKind::Stream && state.resumable);
         });
@@ -88,12 +88,13 @@
 
     void boundsOnSendsHold()
     {
-        forAll([](SendEnd end, const ForwardState &state, const ForwardDecision &decision) {
-            if (decision.step != ForwardStep::SendAgain)
+        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
+            if (decision.step != ForwardStep::Retry)
                 return;
-            CPPUNIT_ASSERT(state.timeLeft && state.othersLeft);
-            if (end == SendEnd::NotConnected)
-                CPPUNIT_ASSERT(state.misses < mostMisses && state.absences < mostAbsences);
+            CPPUNIT_ASSERT(state.timeLeft && state.upstreamsLeft);
+            if (end == SendResult::NotConnected)
+                CPPUNIT_ASSERT(state.connectFailures < maxConnectFailures
+                               && state.connectRefusals < maxConnectRefusals);
             else
                 CPPUNIT_ASSERT(state.sends < state.maxAttempts && state.retryLeft);
         });
@@ -105,14 +106,14 @@
         state.kind = RouteKind::Safe;
         state.sends = 1;
         state.maxAttempts = 2;
-        state.retryLeft = state.timeLeft = state.othersLeft = true;
-        for (const SendEnd end : {SendEnd::Lost, SendEnd::OwnFailure, SendEnd::Corrupt,
-                                  SendEnd::RefusedNotRun, SendEnd::NotConnected})
-            CPPUNIT_ASSERT(afterSend(end, state).step == ForwardStep::SendAgain);
+        state.retryLeft = state.timeLeft = state.upstreamsLeft = true;
+        for (const SendResult end : {SendResult::Lost, SendResult::ServerError, SendResult::Corrupt,
+                                     SendResult::RefusedNotRun, SendResult::NotConnected})
+            CPPUNIT_ASSERT(nextStep(end, state).step == ForwardStep::Retry);
         state.kind = RouteKind::Unsafe;
-        CPPUNIT_ASSERT(afterSend(SendEnd::RefusedNotRun, state).step == ForwardStep::SendAgain);
-        CPPUNIT_ASSERT(afterSend(SendEnd::NotConnected, state).step == ForwardStep::SendAgain);
-        CPPUNIT_ASSERT(afterSend(SendEnd::Lost, state).step == ForwardStep::Fail);
+        CPPUNIT_ASSERT(nextStep(SendResult::RefusedNotRun, state).step == ForwardStep::Retry);
+        CPPUNIT_ASSERT(nextStep(SendResult::NotConnected, state).step == ForwardStep::Retry);
+        CPPUNIT_ASSERT(nextStep(SendResult::Lost, state).step == ForwardStep::Fail);
     }
 
     void ownFailureIsDeliveredAsItIs()
@@ -120,7 +121,7 @@
         ForwardState state;
         state.kind = RouteKind::Unsafe;
         state.sends = 1;
-        CPPUNIT_ASSERT(afterSend(SendEnd::OwnFailure, state).step == ForwardStep::Deliver);
+        CPPUNIT_ASSERT(nextStep(SendResult::ServerError, state).step == ForwardStep::Deliver);
     }
 };
 
--- a/src/libreachlead/gatewayparts_test.cpp
+++ b/src/libreachlead/gatewayparts_test.cpp
@@ -14,7 +14,7 @@
 #include <reachlead/logwriter.h>
 #include <reachlead/promptcache.h>
 #include <reachlead/retryshare.h>
-#include <reachlead/watchduty.h>
+#include <reachlead/watcherelection.h>
 
 namespace reachlead {
 
@@ -52,9 +52,9 @@
             double repeats = 0;
             for (const unsigned sends : firsts) {
                 RetryShare share(bounds);
-                share.setGateways(gateways);
+                share.setGatewayCount(gateways);
                 for (unsigned n = 0; n < sends; ++n)
-                    share.first(service, start + milliseconds(n));
+                    share.recordFirstSend(service, start + milliseconds(n));
                 while (share.take(service, start + milliseconds(300)))
                     ++repeats;
             }
@@ -95,8 +95,8 @@
                 at += n;
             }
             RC_ASSERT(out == all);
-            RC_ASSERT(splitter.events() == count);
-            RC_ASSERT(splitter.holdsPart() == !tail.empty());
+            RC_ASSERT(splitter.eventCount() == count);
+            RC_ASSERT(splitter.hasPartialEvent() == !tail.empty());
             RC_ASSERT(splitter.lastId().value_or(0) == count);
         }));
     }
@@ -107,8 +107,8 @@
         bool tooLong = false;
         CPPUNIT_ASSERT_EQUAL(std::string("id: 1\r\n\r\n"),
                              splitter.feed("id: 1\r\n\r\nid: 2\r\nda", &tooLong));
-        CPPUNIT_ASSERT(splitter.holdsPart());
-        splitter.dropPart();
+        CPPUNIT_ASSERT(splitter.hasPartialEvent());
+        splitter.dropPartialEvent();
         CPPUNIT_ASSERT_EQUAL(std::string("id: 2\n\n"), splitter.feed("id: 2\n\n", &tooLong));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, *splitter.lastId());
     }
@@ -117,7 +117,7 @@
     {
         EventSplitter splitter;
         bool tooLong = false;
-        splitter.feed(std::string(EventSplitter::mostHeld + 1, 'x'), &tooLong);
+        splitter.feed(std::string(EventSplitter::maxEventBytes + 1, 'x'), &tooLong);
         CPPUNIT_ASSERT(tooLong);
     }
 
@@ -131,7 +131,7 @@
                      const std::vector<PromptPart> &prompt)
     {
         for (const KeyedPart &part : keyParts(model, prompt))
-            cache->note(part.key, Time{});
+            cache->insert(part.key, Time{});
     }
 
     void partCountsOnlyBehindItsHead()
@@ -150,11 +150,11 @@
     {
         PromptCache cache;
         const std::vector<PromptPart> kept{{1, 10}};
-        for (std::uint64_t n = 1; n <= 2 * PromptCache::mostParts; ++n) {
+        for (std::uint64_t n = 1; n <= 2 * PromptCache::maxParts; ++n) {
             note(&cache, "m", {{n, 10}});
             note(&cache, "m", kept);
         }
-        CPPUNIT_ASSERT_EQUAL(PromptCache::mostParts, cache.size());
+        CPPUNIT_ASSERT_EQUAL(PromptCache::maxParts, cache.size());
         CPPUNIT_ASSERT_EQUAL(TokenCount{10}, cache.cachedTokens(parts("m", kept)));
         CPPUNIT_ASSERT_EQUAL(TokenCount{0}, cache.cachedTokens(parts("m", {{2, 10}})));
     }
@@ -174,11 +174,11 @@
         for (const VmName &vm : all) {
             std::set<VmName> others = all;
             others.erase(vm);
-            WatchDuty duty(vm);
-            duty.begin(start);
-            watching += duty.isOn(others, start) ? 1 : 0;
+            WatcherElection duty(vm);
+            duty.start(start);
+            watching += duty.isWatcher(others, start) ? 1 : 0;
         }
-        CPPUNIT_ASSERT_EQUAL(WatchDuty::watchers, watching);
+        CPPUNIT_ASSERT_EQUAL(WatcherElection::watcherCount, watching);
     }
 
     /// All that watched are lost at once. The others' states grow old together; few read the store
@@ -187,20 +187,20 @@
     {
         for (const std::size_t size : {std::size_t{30}, std::size_t{300}, std::size_t{1000}}) {
             const std::set<VmName> all = fleet(size);
-            const Duration limit = WatchDuty::Options().staleLimit;
+            const Duration limit = WatcherElection::Options().staleLimit;
             std::size_t atOnce = 0;
             std::size_t atTheEnd = 0;
             for (const VmName &vm : all) {
                 std::set<VmName> others = all;
                 others.erase(vm);
-                WatchDuty duty(vm);
-                duty.begin(start);
-                duty.vouched(start + seconds(10));
+                WatcherElection duty(vm);
+                duty.start(start);
+                duty.confirmed(start + seconds(10));
                 const Time stale = start + seconds(10) + limit;
-                atOnce += duty.isOn(others, stale + milliseconds(10)) ? 1 : 0;
-                atTheEnd += duty.isOn(others, stale + limit / 5) ? 1 : 0;
+                atOnce += duty.isWatcher(others, stale + milliseconds(10)) ? 1 : 0;
+                atTheEnd += duty.isWatcher(others, stale + limit / 5) ? 1 : 0;
             }
-            CPPUNIT_ASSERT(atOnce >= WatchDuty::watchers && atOnce <= 3 + size / 20);
+            CPPUNIT_ASSERT(atOnce >= WatcherElection::watcherCount && atOnce <= 3 + size / 20);
             CPPUNIT_ASSERT(atTheEnd >= size - 2); // nobody relies on the first
         }
     }
@@ -212,30 +212,32 @@
         std::size_t watching = 0;
         std::size_t later = 0;
         for (int n = 0; n < 300; ++n) {
-            WatchDuty::Options options;
+            WatcherElection::Options options;
             options.hasSeeds = true;
             options.isSeed = n < 3;
-            WatchDuty duty(VmName(fmt::format("vm-{}", n)), options);
-            duty.begin(start);
-            duty.vouched(start + seconds(1));
-            watching += duty.isOn({VmName("seed")}, start + milliseconds(200)) ? 1 : 0;
-            later += duty.isOn(fleet(480), start + options.staleLimit) ? 1 : 0;
+            WatcherElection duty(VmName(fmt::format("vm-{}", n)), options);
+            duty.start(start);
+            duty.confirmed(start + seconds(1));
+            watching += duty.isWatcher({VmName("seed")}, start + milliseconds(200)) ? 1 : 0;
+            later += duty.isWatcher(fleet(480), start + options.staleLimit) ? 1 : 0;
         }
-        CPPUNIT_ASSERT_EQUAL(WatchDuty::watchers, watching);
+        CPPUNIT_ASSERT_EQUAL(WatcherElection::watcherCount, watching);
         CPPUNIT_ASSERT(later < 10); // by the order among all
     }
 
     void staleGatewayWatchesWhateverItsRank()
     {
         const std::set<VmName> others = fleet(480);
-        WatchDuty duty(VmName("gateway-last"));
-        duty.begin(start);
-        CPPUNIT_ASSERT(!duty.isOn({}, start)); // peers get time to be heard
-        CPPUNIT_ASSERT(!duty.isOn(others, start));
-        duty.vouched(start + seconds(5));
-        CPPUNIT_ASSERT(!duty.isOn(others, start + seconds(5) + WatchDuty::Options().staleLimit));
-        CPPUNIT_ASSERT(duty.isOn(others, start + seconds(6) + WatchDuty::Options().staleLimit));
-        CPPUNIT_ASSERT(duty.isOn({}, start + seconds(5)));
+        WatcherElection duty(VmName("gateway-last"));
+        duty.start(start);
+        CPPUNIT_ASSERT(!duty.isWatcher({}, start)); // peers get time to be heard
+        CPPUNIT_ASSERT(!duty.isWatcher(others, start));
+        duty.confirmed(start + seconds(5));
+        CPPUNIT_ASSERT(
+            !duty.isWatcher(others, start + seconds(5) + WatcherElection::Options().staleLimit));
+        CPPUNIT_ASSERT(
+            duty.isWatcher(others, start + seconds(6) + WatcherElection::Options().staleLimit));
+        CPPUNIT_ASSERT(duty.isWatcher({}, start + seconds(5)));
     }
 
     void logBudgetFillsUpWithTime()
@@ -271,13 +273,13 @@
 
     void quantilesFollowTheSamples()
     {
-        Latencies latencies;
-        CPPUNIT_ASSERT_EQUAL(0.0, latencies.quantile(Timed::Whole, 0.5));
+        LatencyHistograms latencies;
+        CPPUNIT_ASSERT_EQUAL(0.0, latencies.quantile(LatencyKind::Whole, 0.5));
         for (int ms = 1; ms <= 1000; ++ms)
-            latencies.note(Timed::Whole, milliseconds(ms));
-        const double p50 = latencies.quantile(Timed::Whole, 0.5);
+            latencies.recordLatency(LatencyKind::Whole, milliseconds(ms));
+        const double p50 = latencies.quantile(LatencyKind::Whole, 0.5);
         CPPUNIT_ASSERT(p50 >= 500 && p50 < 1000);
-        CPPUNIT_ASSERT(latencies.page().find("reachlead_whole_milliseconds_count 1000")
+        CPPUNIT_ASSERT(latencies.prometheusText().find("reachlead_whole_milliseconds_count 1000")
                        != std::string::npos);
     }
 };
--- a/src/libreachlead/gatewaystate.cpp
+++ b/src/libreachlead/gatewaystate.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-void logLimit(const LimitNote &note, std::string_view source)
+void logLimit(const LimitUpdate &note, std::string_view source)
 {
     constexpr double none = -1.0;
     LogLine(LogLevel::Info, "upstream-limit")
         .with("upstream", note.upstream.text)
-        .with("born", note.upstream.born)
+        .with("born", note.upstream.startedAt)
         .with("per_second", note.limit ? note.limit->perSecond() : none)
         .with("source", source);
 }
@@ -27,10 +27,10 @@
 
 GatewayState::GatewayState(const Options &options)
     : m_options(options), m_book(options.zone, options.costs), m_groups(options.groupSize),
-      m_retries(options.retries), m_duty(options.vm, options.duty)
+      m_retries(options.retries), m_duty(options.vm, options.watcherElection)
 {
-    noteGateways(m_heardGateways);
-    m_duty.begin(now());
+    setLiveGateways(m_heardGateways);
+    m_duty.start(now());
 }
 
 void GatewayState::configRead(RoutingConfig config)
@@ -51,7 +51,7 @@
         .with("accounts", config.accounts.size());
     if (m_table)
         m_formerTables.push_back(m_table);
-    if (m_formerTables.size() > mostFormer)
+    if (m_formerTables.size() > maxFormerTables)
         m_formerTables.pop_front();
     m_table = std::make_shared<const RouteTable>(std::move(config));
     if (m_onChange)
@@ -65,7 +65,7 @@
 
 void GatewayState::upstreamsChanged(std::vector<UpstreamChange> changes, std::uint64_t revision)
 {
-    noteChange(m_directory.apply(changes, revision, now()), "platform");
+    noteChange(m_directory.applyChanges(changes, revision, now()), "platform");
 }
 
 void GatewayState::gatewaysChanged(GatewayRoster roster)
@@ -73,13 +73,13 @@
     if (roster.revision <= m_roster.revision)
         return;
     m_roster = std::move(roster);
-    noteGateways(m_heardGateways);
+    setLiveGateways(m_heardGateways);
     LogLine(LogLevel::Info, "gateways-changed").with("gateways", m_roster.gateways.size());
 }
 
 void GatewayState::evacuationsRead(ZoneSet zones, std::uint64_t revision)
 {
-    if (m_evacuations.read(std::move(zones), revision))
+    if (m_evacuations.setFromPlatform(std::move(zones), revision))
         applyEvacuations("platform");
 }
 
@@ -94,21 +94,20 @@
         .with("first", zones.empty() ? "-" : zones.begin()->text)
         .with("revision", m_evacuations.revision())
         .with("source", source);
-    const UpstreamDirectory::Changed changed = m_directory.setEvacuated(zones);
+    const UpstreamDirectory::UsableChanges changed = m_directory.setEvacuated(zones);
     std::ranges::for_each(changed.added,
                           [this](const UpstreamId &id) { m_book.mayBeCold(id, now()); });
-    const bool isTold = !changed.added.empty() || !changed.left.empty();
+    const bool isTold = !changed.added.empty() || !changed.withdrawn.empty();
     noteChange(changed, source);
     if (!isTold && m_onChange)
         m_onChange(); // no upstream is known there yet: the next gateways must hear of it
 }
 
-void GatewayState::noteGateways(std::size_t heard)
+void GatewayState::setLiveGateways(std::size_t heard)
 {
     m_heardGateways = heard;
-    const std::size_t gateways =
-        std::max({heard, m_roster.gateways.size(), m_options.fewestGateways});
-    m_retries.setGateways(gateways);
+    const std::size_t gateways = std::max({heard, m_roster.gateways.size(), m_options.minGateways});
+    m_retries.setGatewayCount(gateways);
     m_book.setFleet(gateways, std::hash<VmName>{}(vm()));
 }
 
@@ -127,7 +126,7 @@
         .with("upstreams", m_directory.entries().size());
 }
 
-void GatewayState::current()
+void GatewayState::caughtUp()
 {
     noteCurrent(now());
 }
@@ -139,7 +138,7 @@
 {
     if (m_currentAt && at <= *m_currentAt)
         return;
-    const Duration half = m_options.duty.staleLimit / 2;
+    const Duration half = m_options.watcherElection.staleLimit / 2;
     const bool wasOld = m_currentAt && *m_currentAt + half < now();
     m_currentAt = at;
     if (wasOld && at + half > now() && m_onChange)
@@ -155,7 +154,7 @@
                                    std::string_view source)
 {
     for (const QuarantinedRequest &it : requests) {
-        if (!m_crashes.learn(it.request, milliseconds(it.leftMs), now()))
+        if (!m_crashes.mergeQuarantine(it.request, milliseconds(it.leftMs), now()))
             continue;
         LogLine(LogLevel::Warn, "quarantine-learned")
             .with("request", toString(it.request))
@@ -164,25 +163,25 @@
     }
 }
 
-GatewayState::StatementNews GatewayState::upstreamSaid(const UpstreamId &id,
-                                                       const UpstreamStatement &statement)
+GatewayState::NoticeChanges GatewayState::applyNotice(const UpstreamId &id,
+                                                      const UpstreamNotice &notice)
 {
-    StatementNews news;
+    NoticeChanges news;
     const UnixMillis stamp = m_timeOfDay();
-    news.ofLimit =
-        statement.isLimitReadable && m_book.limits().heard(id, statement.limit, now(), stamp);
-    if (news.ofLimit)
-        logLimit({id, statement.limit, stamp}, "answer");
-    news.ofLeaving = statement.isLeaving && !m_directory.leaving().contains(id);
-    if (news.ofLeaving)
+    news.hasNewLimit =
+        notice.isLimitValid && m_book.limits().recordAnswer(id, notice.limit, now(), stamp);
+    if (news.hasNewLimit)
+        logLimit({id, notice.limit, stamp}, "answer");
+    news.isNewlyLeaving = notice.isLeaving && !m_directory.leaving().contains(id);
+    if (news.isNewlyLeaving)
         noteChange(m_directory.setLeaving(id, now()), "answer");
-    news.ofBackoff = statement.retryAfter.has_value();
-    if (news.ofBackoff) {
-        m_book.backoffs().asked(id, *statement.retryAfter, now());
+    news.hasBackoff = notice.retryAfter.has_value();
+    if (news.hasBackoff) {
+        m_book.backoffs().add(id, *notice.retryAfter, now());
         LogLine(LogLevel::Info, "upstream-backoff")
             .with("upstream", id.text)
-            .with("born", id.born)
-            .with("for_ms", static_cast<std::int64_t>(toMillis(*statement.retryAfter)));
+            .with("born", id.startedAt)
+            .with("for_ms", static_cast<std::int64_t>(toMillis(*notice.retryAfter)));
     }
     return news;
 }
@@ -193,31 +192,31 @@
         noteChange(m_directory.setLeaving(id, now()), peer.text);
 }
 
-void GatewayState::learnLimits(const std::vector<LimitNote> &notes, const VmName &peer)
+void GatewayState::learnLimits(const std::vector<LimitUpdate> &notes, const VmName &peer)
 {
-    for (const LimitNote &note : notes) {
-        if (m_book.limits().told(note, now()))
+    for (const LimitUpdate &note : notes) {
+        if (m_book.limits().applyUpdate(note, now()))
             logLimit(note, peer.text);
     }
 }
 
-void GatewayState::vouched(Time at)
+void GatewayState::confirmed(Time at)
 {
-    m_duty.vouched(at);
+    m_duty.confirmed(at);
     noteCurrent(at);
 }
 
-bool GatewayState::isVouched() const
+bool GatewayState::isConfirmed() const
 {
     return !m_duty.isStale(now());
 }
 
 bool GatewayState::shouldWatch(const std::set<VmName> &peers) const
 {
-    return m_duty.isOn(peers, now());
+    return m_duty.isWatcher(peers, now());
 }
 
-void GatewayState::peerTold(const VmName &peer, const GatewayNews &news)
+void GatewayState::applyPeerUpdate(const VmName &peer, const StateUpdate &news)
 {
     if (news.config)
         adopt(*news.config, peer.text);
@@ -226,29 +225,29 @@
             adopt(std::move(*config), peer.text);
     }
     gatewaysChanged(news.roster);
-    if (m_evacuations.take(news.evacuations))
+    if (m_evacuations.applyUpdate(news.evacuations))
         applyEvacuations(peer.text);
-    noteChange(m_directory.take(news.registry, now()), peer.text);
+    noteChange(m_directory.applyUpdate(news.registry, now()), peer.text);
 }
 
 StateVersions GatewayState::versions() const
 {
-    return {configVersion(), m_directory.revision(), m_directory.digest(), m_evacuations.readAt(),
-            m_roster.revision};
+    return {configVersion(), m_directory.revision(), m_directory.digest(),
+            m_evacuations.readRevision(), m_roster.revision};
 }
 
-GatewayNews GatewayState::newsSince(const StateVersions &known) const
+StateUpdate GatewayState::updateSince(const StateVersions &known) const
 {
-    GatewayNews news;
+    StateUpdate news;
     if (m_table && m_table->version() > known.config) {
         const auto it = std::ranges::find(m_formerTables, known.config, &RouteTable::version);
         if (it != m_formerTables.end())
-            news.configChange = differenceOf((*it)->config(), m_table->config());
+            news.configChange = computeDelta((*it)->config(), m_table->config());
         if (!news.configChange)
             news.config = m_table->config();
     }
-    news.registry = m_directory.newsSince(known.registry, now(), known.registryDigest);
-    news.evacuations = m_evacuations.newsSince(known.evacuations);
+    news.registry = m_directory.updateSince(known.registry, now(), known.registryDigest);
+    news.evacuations = m_evacuations.updateSince(known.evacuations);
     if (m_roster.revision > known.roster)
         news.roster = m_roster;
     return news;
@@ -257,9 +256,9 @@
 void GatewayState::tick()
 {
     noteChange(m_directory.expire(now()), "missing-after-outage");
-    m_crashes.forgetOld(now());
-    m_book.limits().forgetOld(now());
-    m_book.backoffs().forgetOld(now());
+    m_crashes.dropExpired(now());
+    m_book.limits().dropExpired(now());
+    m_book.backoffs().dropExpired(now());
 }
 
 bool GatewayState::isReady() const
@@ -269,32 +268,33 @@
     return m_table != nullptr && !m_directory.entries().empty();
 }
 
-void GatewayState::noteChange(const UpstreamDirectory::Changed &changed, std::string_view source)
+void GatewayState::noteChange(const UpstreamDirectory::UsableChanges &changed,
+                              std::string_view source)
 {
-    if (changed.added.empty() && changed.left.empty())
+    if (changed.added.empty() && changed.withdrawn.empty())
         return;
     for (const UpstreamId &id : changed.added) {
         const UpstreamEntry *entry = m_directory.find(id); // null: gone again in the same batch
         LogLine(LogLevel::Info, "upstream-added")
             .with("upstream", id.text)
-            .with("born", id.born)
+            .with("born", id.startedAt)
             .with("service", entry != nullptr ? entry->service.text : "-")
             .with("zone", entry != nullptr ? entry->zone.text : "-")
             .with("source", source)
             .with("revision", m_directory.revision());
     }
-    for (const UpstreamId &id : changed.left) {
+    for (const UpstreamId &id : changed.withdrawn) {
         LogLine(LogLevel::Info, "upstream-left")
             .with("upstream", id.text)
-            .with("born", id.born)
+            .with("born", id.startedAt)
             .with("source", source)
             .with("revision", m_directory.revision());
     }
-    m_book.keepOnly(m_directory);
+    m_book.removeUnlisted(m_directory);
     if (m_onChange)
         m_onChange();
-    if (m_onLeft && !changed.left.empty())
-        m_onLeft(changed.left);
+    if (m_onLeft && !changed.withdrawn.empty())
+        m_onLeft(changed.withdrawn);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/gatewaystate_test.cpp
+++ b/src/libreachlead/gatewaystate_test.cpp
@@ -60,11 +60,11 @@
     {
         GatewayState state({});
         state.contactChanged(false);
-        GatewayNews news;
+        StateUpdate news;
         news.config = config(3);
-        news.registry.all = {entry("a")};
+        news.registry.snapshot = {entry("a")};
         news.registry.revision = 12;
-        state.peerTold(VmName("peer"), news);
+        state.applyPeerUpdate(VmName("peer"), news);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, state.configVersion());
         CPPUNIT_ASSERT(state.directory().find(UpstreamId("a")) != nullptr);
         CPPUNIT_ASSERT(state.isReady());
@@ -75,11 +75,11 @@
         GatewayState state({});
         state.configRead(config(7));
         state.upstreamsListed({entry("a")}, 20);
-        GatewayNews news;
+        StateUpdate news;
         news.config = config(6);
-        news.registry.all = {entry("b")};
+        news.registry.snapshot = {entry("b")};
         news.registry.revision = 20;
-        state.peerTold(VmName("peer"), news);
+        state.applyPeerUpdate(VmName("peer"), news);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, state.configVersion());
         CPPUNIT_ASSERT(state.directory().find(UpstreamId("b")) == nullptr);
     }
@@ -123,11 +123,11 @@
         gone.entry = entry("a");
         gone.removed = true;
         teller.upstreamsChanged({gone}, 21);
-        const GatewayNews news = teller.newsSince({3, 20});
-        CPPUNIT_ASSERT(!news.config && !news.registry.all);
+        const StateUpdate news = teller.updateSince({3, 20});
+        CPPUNIT_ASSERT(!news.config && !news.registry.snapshot);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.configChange->routes.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.registry.changes.size());
-        hearer.peerTold(VmName("peer"), news);
+        hearer.applyPeerUpdate(VmName("peer"), news);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, hearer.configVersion());
         CPPUNIT_ASSERT_EQUAL(std::size_t{11}, hearer.table()->config().routes.size());
         CPPUNIT_ASSERT(hearer.directory().find(UpstreamId("a")) == nullptr);
@@ -137,21 +137,21 @@
     void newsTellAllToOneTooFarBehind()
     {
         GatewayState teller({});
-        for (std::uint64_t version = 1; version <= GatewayState::mostFormer + 2; ++version)
+        for (std::uint64_t version = 1; version <= GatewayState::maxFormerTables + 2; ++version)
             teller.configRead(withRoutes(version, 2));
         teller.upstreamsListed({entry("a")}, 20);
-        const GatewayNews news = teller.newsSince({1, 7});
-        CPPUNIT_ASSERT(news.config && news.registry.all);
+        const StateUpdate news = teller.updateSince({1, 7});
+        CPPUNIT_ASSERT(news.config && news.registry.snapshot);
         GatewayState fresh({});
-        fresh.peerTold(VmName("peer"), news);
+        fresh.applyPeerUpdate(VmName("peer"), news);
         CPPUNIT_ASSERT(fresh.isReady());
         // Changes that begin behind what is held are of no use.
         GatewayState behind({});
         behind.upstreamsListed({entry("b")}, 5);
-        GatewayNews gap;
+        StateUpdate gap;
         gap.registry.changesFrom = 7;
         gap.registry.revision = 20;
-        behind.peerTold(VmName("peer"), gap);
+        behind.applyPeerUpdate(VmName("peer"), gap);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, behind.directory().revision());
     }
 
@@ -169,10 +169,10 @@
     {
         GatewayState state({});
         CPPUNIT_ASSERT(!state.currentAt());
-        state.vouched(start - seconds(1));
+        state.confirmed(start - seconds(1));
         CPPUNIT_ASSERT(*state.currentAt() == start - seconds(1));
-        state.current();
-        state.vouched(start - seconds(1));
+        state.caughtUp();
+        state.confirmed(start - seconds(1));
         CPPUNIT_ASSERT(*state.currentAt() == start);
     }
 };
--- a/src/libreachlead/http.cpp
+++ b/src/libreachlead/http.cpp
@@ -61,7 +61,7 @@
     return headers;
 }
 
-http::response<http::string_body> toBeast(HttpReply reply, unsigned version, bool keepAlive)
+http::response<http::string_body> toBeast(HttpResponse reply, unsigned version, bool keepAlive)
 {
     http::response<http::string_body> response(static_cast<http::status>(reply.status), version);
     for (const Header &header : reply.headers)
@@ -95,19 +95,19 @@
     return fmt::format("{}:{}", address, port);
 }
 
-std::string_view HttpAsk::header(std::string_view name) const
+std::string_view HttpRequest::header(std::string_view name) const
 {
     const auto it = std::ranges::find_if(
         headers, [&](const Header &h) { return boost::algorithm::iequals(h.name, name); });
     return it == headers.end() ? std::string_view() : std::string_view(it->value);
 }
 
-std::string_view HttpAsk::pathOnly() const
+std::string_view HttpRequest::pathOnly() const
 {
     return std::string_view(path).substr(0, path.find('?'));
 }
 
-std::string HttpAsk::query(std::string_view name) const
+std::string HttpRequest::queryParameter(std::string_view name) const
 {
     const auto mark = path.find('?');
     if (mark == std::string::npos)
@@ -121,7 +121,7 @@
     return {};
 }
 
-std::optional<double> readDecimal(std::string_view text)
+std::optional<double> parseDecimal(std::string_view text)
 {
     double value = 0;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -130,14 +130,14 @@
     return value;
 }
 
-std::optional<Duration> retryAfterOf(unsigned status, std::string_view retryAfter)
+std::optional<Duration> parseRetryAfter(unsigned status, std::string_view retryAfter)
 {
     constexpr unsigned tooMany = 429;
     constexpr unsigned unavailable = 503;
     constexpr double longest = 1e6; // s; fits a Duration
     if (status != tooMany && status != unavailable)
         return std::nullopt;
-    const std::optional<double> value = readDecimal(retryAfter);
+    const std::optional<double> value = parseDecimal(retryAfter);
     if (!value || !std::isfinite(*value) || *value <= 0)
         return std::nullopt;
     return fromSeconds(std::min(*value, longest));
@@ -154,8 +154,8 @@
     return out;
 }
 
-asio::awaitable<std::optional<HttpReply>> httpCall(Endpoint to, HttpAsk ask, Duration limit,
-                                                   std::string *reason, CallProgress *progress)
+asio::awaitable<std::optional<HttpResponse>> httpCall(Endpoint to, HttpRequest ask, Duration limit,
+                                                      std::string *reason, CallProgress *progress)
 {
     CallProgress ignored{};
     CallProgress &reached = progress ? *progress : ignored;
@@ -198,7 +198,7 @@
     reached = CallProgress::Answered;
     stream.socket().shutdown(tcp::socket::shutdown_both, ec);
     const auto &response = parser.get();
-    HttpReply reply{response.result_int(), headersOf(response), response.body()};
+    HttpResponse reply{response.result_int(), headersOf(response), response.body()};
     co_return reply;
 }
 
@@ -227,11 +227,11 @@
             break;
         stream.expires_never();
         const auto &request = parser.get();
-        HttpAsk ask{std::string(request.method_string()), std::string(request.target()),
-                    headersOf(request), request.body()};
+        HttpRequest ask{std::string(request.method_string()), std::string(request.target()),
+                        headersOf(request), request.body()};
         const bool keepAlive = request.keep_alive();
         const unsigned version = request.version();
-        HttpReply reply = co_await shared->handler(std::move(ask));
+        HttpResponse reply = co_await shared->handler(std::move(ask));
         auto response = toBeast(std::move(reply), version, keepAlive);
         stream.expires_after(idleLimit);
         const auto [writeError, written] = co_await http::async_write(stream, response, quietly);
--- a/src/libreachlead/inifile.cpp
+++ b/src/libreachlead/inifile.cpp
@@ -141,7 +141,7 @@
 IniReader &IniReader::takeFlag(std::string_view key, bool *out)
 {
     std::size_t index = *out ? 1 : 0;
-    takeWord(key, {"no", "yes"}, &index);
+    takeEnum(key, {"no", "yes"}, &index);
     *out = index == 1;
     return *this;
 }
@@ -190,7 +190,7 @@
     return *this;
 }
 
-IniReader &IniReader::takeWord(std::string_view key, const std::vector<std::string_view> &words,
+IniReader &IniReader::takeEnum(std::string_view key, const std::vector<std::string_view> &words,
                                std::size_t *out)
 {
     const IniEntry *entry = find(key);
--- a/src/libreachlead/inifile_test.cpp
+++ b/src/libreachlead/inifile_test.cpp
@@ -28,7 +28,7 @@
         reader.require("n")
             .takeInteger("n", 1, 9, &n)
             .takeDuration("d", milliseconds(1), seconds(9), &d)
-            .takeWord("w", {"deliver", "drop"}, &word);
+            .takeEnum("w", {"deliver", "drop"}, &word);
         return reader.finish().value_or("");
     }
 
--- a/src/libreachlead/latency.cpp
+++ b/src/libreachlead/latency.cpp
@@ -15,24 +15,24 @@
 constexpr double lowestMs = 1.0;
 constexpr double highestMs = 100'000.0;
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(Timed::Size)> names{
+constexpr std::array<std::string_view, static_cast<std::size_t>(LatencyKind::Size)> names{
     "first_byte", "whole", "connect"};
 
 } // namespace
 
-Latencies::Latencies()
+LatencyHistograms::LatencyHistograms()
 {
     m_histograms.fill(boost::histogram::make_histogram(Axis(bins, lowestMs, highestMs)));
 }
 
-void Latencies::note(Timed what, Duration d)
+void LatencyHistograms::recordLatency(LatencyKind what, Duration d)
 {
     const auto n = static_cast<std::size_t>(what);
     m_histograms[n](toMillis(d));
     m_sums[n] += toMillis(d);
 }
 
-std::string Latencies::page() const
+std::string LatencyHistograms::prometheusText() const
 {
     std::string page;
     for (std::size_t n = 0; n < names.size(); ++n) {
@@ -52,7 +52,7 @@
     return page;
 }
 
-double Latencies::quantile(Timed what, double q) const
+double LatencyHistograms::quantile(LatencyKind what, double q) const
 {
     const Histogram &histogram = m_histograms[static_cast<std::size_t>(what)];
     const double all = std::accumulate(histogram.begin(), histogram.end(), 0.0);
--- a/src/libreachlead/leavingupstreams.cpp
+++ b/src/libreachlead/leavingupstreams.cpp
@@ -15,8 +15,8 @@
     return ids;
 }
 
-void LeavingUpstreams::forgetOld(Time now,
-                                 const std::function<bool(const UpstreamId &)> &isRegistered)
+void LeavingUpstreams::dropExpired(Time now,
+                                   const std::function<bool(const UpstreamId &)> &isRegistered)
 {
     std::erase_if(m_since, [&](const auto &it) {
         return it.second + rememberFor <= now && !isRegistered(it.first);
--- a/src/libreachlead/leavingupstreams_test.cpp
+++ b/src/libreachlead/leavingupstreams_test.cpp
@@ -32,20 +32,21 @@
     void entryThatComesLaterTakesNoWork()
     {
         UpstreamDirectory directory;
-        CPPUNIT_ASSERT(directory.setLeaving(entry().id, start).left.empty());
+        CPPUNIT_ASSERT(directory.setLeaving(entry().id, start).withdrawn.empty());
         directory.replaceAll({entry()}, 1, start);
-        CPPUNIT_ASSERT(directory.usableOf(ServiceName("s")).empty());
+        CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
     }
 
     void endOfAnEvacuationDoesNotBringItBack()
     {
         UpstreamDirectory directory;
         directory.replaceAll({entry()}, 1, start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.setLeaving(entry().id, start).left.size());
-        CPPUNIT_ASSERT(directory.setLeaving(entry().id, start).left.empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                             directory.setLeaving(entry().id, start).withdrawn.size());
+        CPPUNIT_ASSERT(directory.setLeaving(entry().id, start).withdrawn.empty());
         directory.setEvacuated({ZoneName("z")});
         CPPUNIT_ASSERT(directory.setEvacuated({}).added.empty());
-        CPPUNIT_ASSERT(directory.usableOf(ServiceName("s")).empty());
+        CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
     }
 
     void itIsRememberedWhileItIsRegistered()
@@ -55,7 +56,7 @@
         directory.setLeaving(entry().id, start);
         const Time later = start + 2 * LeavingUpstreams::rememberFor;
         directory.expire(later);
-        CPPUNIT_ASSERT(directory.usableOf(ServiceName("s")).empty());
+        CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
         directory.replaceAll({}, 2, later);
         directory.expire(later);
         CPPUNIT_ASSERT(!directory.leaving().contains(entry().id));
--- a/src/libreachlead/logwriter.cpp
+++ b/src/libreachlead/logwriter.cpp
@@ -39,7 +39,7 @@
     {
         const std::scoped_lock lock(m_mutex);
         const bool inBudget = m_budget.take(RuntimeClock::now()) || urgent;
-        if (!inBudget || m_waiting.size() + line.size() > mostWaiting) {
+        if (!inBudget || m_waiting.size() + line.size() > maxBufferedBytes) {
             ++m_dropped;
             return;
         }
@@ -62,7 +62,7 @@
     while (true) {
         m_changed.wait(lock, [this] { return m_ending || !m_waiting.empty(); });
         if (!m_ending)
-            m_changed.wait_for(lock, gatherTime, [this] { return m_ending; });
+            m_changed.wait_for(lock, flushInterval, [this] { return m_ending; });
         std::string taken;
         taken.swap(m_waiting);
         if (m_dropped > m_told)
--- a/src/libreachlead/placement.cpp
+++ b/src/libreachlead/placement.cpp
@@ -24,7 +24,7 @@
 class TwoChoices : public Placement
 {
 public:
-    std::optional<std::size_t> choose(std::span<const Candidate> candidates,
+    std::optional<std::size_t> select(std::span<const Candidate> candidates,
                                       Random &random) override
     {
         const auto near = pick(candidates, true);
@@ -52,7 +52,7 @@
 class LeastUsed : public Placement
 {
 public:
-    std::optional<std::size_t> choose(std::span<const Candidate> candidates,
+    std::optional<std::size_t> select(std::span<const Candidate> candidates,
                                       Random & /*random*/) override
     {
         const auto it = std::ranges::min_element(candidates, {}, &Candidate::used);
@@ -65,7 +65,7 @@
 class RoundRobin : public Placement
 {
 public:
-    std::optional<std::size_t> choose(std::span<const Candidate> candidates,
+    std::optional<std::size_t> select(std::span<const Candidate> candidates,
                                       Random & /*random*/) override
     {
         if (candidates.empty())
--- a/src/libreachlead/placementgroups.cpp
+++ b/src/libreachlead/placementgroups.cpp
@@ -8,7 +8,7 @@
 
 #include <xxhash.h>
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -46,40 +46,40 @@
 
 void PlacementGroups::refresh(const UpstreamDirectory &directory)
 {
-    if (m_madeAt == directory.changes())
+    if (m_madeAt == directory.changeCount())
         return;
-    m_madeAt = directory.changes();
+    m_madeAt = directory.changeCount();
     m_members.clear();
     m_groups.clear();
     std::set<ServiceName> services;
     for (const UpstreamEntry &entry : directory.entries() | std::views::values)
         services.insert(entry.service);
     for (const ServiceName &service : services)
-        addService(service, directory.usableOf(service));
+        addService(service, directory.usableUpstreams(service));
 }
 
-std::optional<GroupName> PlacementGroups::groupOf(const ServiceName &service,
-                                                  std::span<const KeyedPart> prompt,
-                                                  const UpstreamDirectory &directory)
+std::optional<GroupName> PlacementGroups::findGroup(const ServiceName &service,
+                                                    std::span<const KeyedPart> prompt,
+                                                    const UpstreamDirectory &directory)
 {
-    const std::vector<const UpstreamEntry *> &upstreams = directory.usableOf(service);
+    const std::vector<const UpstreamEntry *> &upstreams = directory.usableUpstreams(service);
     PromptKey key = 0;
     if (!prompt.empty())
         key = prompt[prompt.size() < 2 ? 0 : prompt.size() - 2].key;
-    const std::optional<UpstreamId> home = homeOf(key, upstreams);
-    return home ? groupOf(*home, directory) : std::nullopt;
+    const std::optional<UpstreamId> home = preferredUpstream(key, upstreams);
+    return home ? findGroup(*home, directory) : std::nullopt;
 }
 
-std::optional<GroupName> PlacementGroups::groupOf(const UpstreamId &id,
-                                                  const UpstreamDirectory &directory)
+std::optional<GroupName> PlacementGroups::findGroup(const UpstreamId &id,
+                                                    const UpstreamDirectory &directory)
 {
     refresh(directory);
     const auto it = m_groups.find(id);
     return it == m_groups.end() ? std::nullopt : std::optional(it->second);
 }
 
-const std::set<UpstreamId> &PlacementGroups::membersOf(const GroupName &group,
-                                                       const UpstreamDirectory &directory)
+const std::set<UpstreamId> &PlacementGroups::groupMembers(const GroupName &group,
+                                                          const UpstreamDirectory &directory)
 {
     static const std::set<UpstreamId> none;
     refresh(directory);
@@ -87,7 +87,7 @@
     return it == m_members.end() ? none : it->second;
 }
 
-std::set<VmName> strongestOf(const std::map<VmName, MilliCores> &gateways)
+std::set<VmName> strongGateways(const std::map<VmName, MilliCores> &gateways)
 {
     std::set<VmName> strong;
     if (gateways.empty())
@@ -100,7 +100,7 @@
     return strong;
 }
 
-std::optional<VmName> schedulerOf(const GroupName &group, const std::set<VmName> &among)
+std::optional<VmName> electScheduler(const GroupName &group, const std::set<VmName> &among)
 {
     if (among.empty())
         return std::nullopt;
--- a/src/libreachlead/placementgroups_test.cpp
+++ b/src/libreachlead/placementgroups_test.cpp
@@ -9,7 +9,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/openasks.h>
+#include <reachlead/pendingqueries.h>
 #include <reachlead/placementgroups.h>
 
 namespace reachlead {
@@ -68,14 +68,14 @@
         PlacementGroups groups(32);
         std::size_t members = 0;
         for (std::uint16_t n = 0; n < 5; ++n) {
-            const std::set<UpstreamId> &group = groups.membersOf({service, n}, upstreams);
+            const std::set<UpstreamId> &group = groups.groupMembers({service, n}, upstreams);
             CPPUNIT_ASSERT(group.size() >= 20 && group.size() <= 55);
             members += group.size();
             for (const UpstreamId &id : group)
-                CPPUNIT_ASSERT(groups.groupOf(id, upstreams) == GroupName(service, n));
+                CPPUNIT_ASSERT(groups.findGroup(id, upstreams) == GroupName(service, n));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{180}, members);
-        CPPUNIT_ASSERT(groups.membersOf({service, 5}, upstreams).empty());
+        CPPUNIT_ASSERT(groups.groupMembers({service, 5}, upstreams).empty());
     }
 
     void callsOfOnePromptShareAGroup()
@@ -85,8 +85,8 @@
         PlacementGroups two;
         std::map<GroupName, int> calls;
         for (std::uint64_t subject = 0; subject < 500; ++subject) {
-            const auto first = one.groupOf(service, prompt(subject, 1), upstreams);
-            CPPUNIT_ASSERT(first == two.groupOf(service, prompt(subject, 2), upstreams));
+            const auto first = one.findGroup(service, prompt(subject, 1), upstreams);
+            CPPUNIT_ASSERT(first == two.findGroup(service, prompt(subject, 2), upstreams));
             ++calls[*first];
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, calls.size());
@@ -100,7 +100,7 @@
         PlacementGroups one;
         PlacementGroups two;
         for (const UpstreamId &id : after.entries() | std::views::keys)
-            CPPUNIT_ASSERT(one.groupOf(id, before) == two.groupOf(id, after));
+            CPPUNIT_ASSERT(one.findGroup(id, before) == two.findGroup(id, after));
     }
 
     void lostGatewayMovesOnlyItsGroups()
@@ -108,20 +108,20 @@
         const std::set<VmName> all = gateways(100);
         for (std::uint16_t n = 0; n < 50; ++n) {
             const GroupName group{service, n};
-            const VmName first = *schedulerOf(group, all);
+            const VmName first = *electScheduler(group, all);
             std::set<VmName> others = all;
             others.erase(n % 2 == 0 ? first : VmName("g0"));
-            const VmName then = *schedulerOf(group, others);
+            const VmName then = *electScheduler(group, others);
             CPPUNIT_ASSERT_EQUAL(n % 2 == 1 && first != VmName("g0"), then == first);
         }
-        CPPUNIT_ASSERT(!schedulerOf({service, 0}, {}));
+        CPPUNIT_ASSERT(!electScheduler({service, 0}, {}));
     }
 
     void serviceWithoutUpstreamsHasNoGroup()
     {
         PlacementGroups groups;
-        CPPUNIT_ASSERT(!groups.groupOf(service, prompt(1, 1), directory(0)));
-        CPPUNIT_ASSERT(!groups.groupOf(UpstreamId("gone"), directory(3)));
+        CPPUNIT_ASSERT(!groups.findGroup(service, prompt(1, 1), directory(0)));
+        CPPUNIT_ASSERT(!groups.findGroup(UpstreamId("gone"), directory(3)));
     }
 
     static std::map<VmName, MilliCores> cores(const std::set<VmName> &names)
@@ -135,24 +135,24 @@
 
     void strongGatewaysPlaceForTheOthers()
     {
-        CPPUNIT_ASSERT(strongestOf({}).empty());
+        CPPUNIT_ASSERT(strongGateways({}).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2},
-                             strongestOf({{VmName("a"), 0}, {VmName("b"), 0}}).size());
+                             strongGateways({{VmName("a"), 0}, {VmName("b"), 0}}).size());
         std::map<VmName, MilliCores> fleet = cores(gateways(3));
         for (int n = 0; n < 20; ++n)
             fleet[VmName(fmt::format("weak{}", n))] = 90;
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, strongestOf(fleet).size());
-        const std::set<VmName> strong = strongestOf(fleet);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, strongGateways(fleet).size());
+        const std::set<VmName> strong = strongGateways(fleet);
         std::set<VmName> all;
         for (const auto &[vm, share] : fleet)
             all.insert(vm);
-        OpenAsks asks(VmName("weak1"));
+        PendingQueries asks(VmName("weak1"));
         for (std::uint16_t n = 0; n < 20; ++n)
             CPPUNIT_ASSERT(
                 !asks.schedulerFor({service, n}, strong, all, start).text.starts_with("weak"));
         // Once all strong ones are silent, a weak one is better than none.
         for (const VmName &vm : strong)
-            asks.missed(asks.open(vm), start);
+            asks.queryFailed(asks.open(vm), start);
         CPPUNIT_ASSERT(
             asks.schedulerFor({service, 0}, strong, all, start).text.starts_with("weak"));
     }
@@ -161,18 +161,19 @@
     {
         const std::set<VmName> all = gateways(10);
         const GroupName group{service, 0};
-        OpenAsks asks(VmName("self"));
+        PendingQueries asks(VmName("self"));
         const VmName first = asks.schedulerFor(group, all, all, start);
-        asks.missed(asks.open(first), start);
+        asks.queryFailed(asks.open(first), start);
         const VmName second = asks.schedulerFor(group, all, all, start);
         CPPUNIT_ASSERT(second != first);
-        const Time later = start + SilentGateways::firstPause;
+        const Time later = start + UnresponsiveGateways::initialBackoff;
         CPPUNIT_ASSERT(asks.schedulerFor(group, all, all, later) == first);
-        asks.missed(asks.open(first), later); // the pause doubles
-        CPPUNIT_ASSERT(asks.schedulerFor(group, all, all, later + SilentGateways::firstPause)
-                       != first);
-        const AskNumber late = asks.open(first);
-        asks.answered(late, first); // and ends with a word of it
+        asks.queryFailed(asks.open(first), later); // the pause doubles
+        CPPUNIT_ASSERT(
+            asks.schedulerFor(group, all, all, later + UnresponsiveGateways::initialBackoff)
+            != first);
+        const QueryId late = asks.open(first);
+        asks.replyReceived(late, first); // and ends with a word of it
         CPPUNIT_ASSERT(asks.schedulerFor(group, all, all, later) == first);
     }
 
@@ -180,35 +181,36 @@
     {
         const std::set<VmName> all = gateways(10);
         const GroupName group{service, 0};
-        OpenAsks asks(VmName("self"));
+        PendingQueries asks(VmName("self"));
         const VmName first = asks.schedulerFor(group, all, all, start);
         for (int n = 0; n < 20; ++n)
-            asks.missed(asks.open(first), start);
-        CPPUNIT_ASSERT(asks.schedulerFor(group, all, all, start + SilentGateways::firstPause)
-                       == first);
+            asks.queryFailed(asks.open(first), start);
+        CPPUNIT_ASSERT(
+            asks.schedulerFor(group, all, all, start + UnresponsiveGateways::initialBackoff)
+            == first);
     }
 
     void openFromNamesTheOldestOpenQuestion()
     {
-        OpenAsks asks(VmName("g0"));
-        CPPUNIT_ASSERT_EQUAL(AskNumber{1}, asks.openFrom());
-        const AskNumber one = asks.open(VmName("g1"));
-        const AskNumber two = asks.open(VmName("g1"));
+        PendingQueries asks(VmName("g0"));
+        CPPUNIT_ASSERT_EQUAL(QueryId{1}, asks.oldestPendingQuery());
+        const QueryId one = asks.open(VmName("g1"));
+        const QueryId two = asks.open(VmName("g1"));
         asks.conclude(two);
-        CPPUNIT_ASSERT_EQUAL(one, asks.openFrom());
+        CPPUNIT_ASSERT_EQUAL(one, asks.oldestPendingQuery());
         asks.conclude(one);
-        CPPUNIT_ASSERT_EQUAL(two + 1, asks.openFrom());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asks.openCount());
+        CPPUNIT_ASSERT_EQUAL(two + 1, asks.oldestPendingQuery());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asks.pendingCount());
     }
 
     void answerOfAnotherGatewayIsNotTaken()
     {
-        OpenAsks asks(VmName("g0"));
-        const AskNumber number = asks.open(VmName("g1"));
-        CPPUNIT_ASSERT(!asks.answered(number, VmName("g2")));
-        CPPUNIT_ASSERT(asks.answered(number, VmName("g1")));
+        PendingQueries asks(VmName("g0"));
+        const QueryId number = asks.open(VmName("g1"));
+        CPPUNIT_ASSERT(!asks.replyReceived(number, VmName("g2")));
+        CPPUNIT_ASSERT(asks.replyReceived(number, VmName("g1")));
         asks.conclude(number);
-        CPPUNIT_ASSERT(!asks.answered(number, VmName("g1")));
+        CPPUNIT_ASSERT(!asks.replyReceived(number, VmName("g1")));
     }
 };
 
--- a/src/libreachlead/promptcache.cpp
+++ b/src/libreachlead/promptcache.cpp
@@ -33,7 +33,7 @@
     return cached;
 }
 
-bool PromptCache::note(PromptKey key, Time readyAt)
+bool PromptCache::insert(PromptKey key, Time readyAt)
 {
     const auto it = m_parts.find(key);
     if (it != m_parts.end()) {
@@ -42,7 +42,7 @@
     }
     m_order.push_back({key, readyAt});
     m_parts.emplace(key, std::prev(m_order.end()));
-    if (m_order.size() > mostParts) {
+    if (m_order.size() > maxParts) {
         m_parts.erase(m_order.front().key);
         m_order.pop_front();
     }
--- a/src/libreachlead/refusalorder.cpp
+++ b/src/libreachlead/refusalorder.cpp
@@ -18,8 +18,8 @@
     m_services[service].placedAt[rank] = now;
 }
 
-std::optional<Duration> RefusalOrder::holdOf(const ServiceName &service, unsigned rank,
-                                             Time now) const
+std::optional<Duration> RefusalOrder::remainingHold(const ServiceName &service, unsigned rank,
+                                                    Time now) const
 {
     const auto it = m_services.find(service);
     if (it == m_services.end())
--- a/src/libreachlead/refusalorder_test.cpp
+++ b/src/libreachlead/refusalorder_test.cpp
@@ -26,9 +26,9 @@
     void nothingIsHeldWithoutRefusals()
     {
         RefusalOrder order;
-        CPPUNIT_ASSERT(!order.holdOf(m_llm, 2, start));
+        CPPUNIT_ASSERT(!order.remainingHold(m_llm, 2, start));
         order.refused(ServiceName("other"), 0, start);
-        CPPUNIT_ASSERT(!order.holdOf(m_llm, 2, start));
+        CPPUNIT_ASSERT(!order.remainingHold(m_llm, 2, start));
     }
 
     void lessUrgentWaitsForTheMoreUrgent()
@@ -36,9 +36,9 @@
         RefusalOrder order;
         order.placed(m_llm, 1, start);
         order.refused(m_llm, 0, start);
-        CPPUNIT_ASSERT(order.holdOf(m_llm, 1, start) == RefusalOrder::defaultHold);
-        CPPUNIT_ASSERT(!order.holdOf(m_llm, 0, start));
-        CPPUNIT_ASSERT(!order.holdOf(m_llm, 1, start + RefusalOrder::defaultHold));
+        CPPUNIT_ASSERT(order.remainingHold(m_llm, 1, start) == RefusalOrder::defaultHold);
+        CPPUNIT_ASSERT(!order.remainingHold(m_llm, 0, start));
+        CPPUNIT_ASSERT(!order.remainingHold(m_llm, 1, start + RefusalOrder::defaultHold));
     }
 
     void heldRankGetsItsFloor()
@@ -47,7 +47,7 @@
         unsigned placed = 0;
         for (Time now = start; now < start + seconds(20); now += milliseconds(50)) {
             order.refused(m_llm, 0, now);
-            if (order.holdOf(m_llm, 1, now))
+            if (order.remainingHold(m_llm, 1, now))
                 continue;
             order.placed(m_llm, 1, now);
             ++placed;
@@ -63,8 +63,8 @@
             for (const unsigned char step : steps) {
                 now += milliseconds(step);
                 order.refused(m_llm, 1 + step % 3, now);
-                RC_ASSERT(!order.holdOf(m_llm, 0, now));
-                RC_ASSERT(!order.holdOf(m_llm, 1, now));
+                RC_ASSERT(!order.remainingHold(m_llm, 0, now));
+                RC_ASSERT(!order.remainingHold(m_llm, 1, now));
             }
         }));
     }
@@ -95,7 +95,7 @@
                 ++urgentRefused;
             }
             const bool isLess = (now - start) % milliseconds(100) == Duration{};
-            if (!isLess || running + 2 > places || order.holdOf(m_llm, 1, now))
+            if (!isLess || running + 2 > places || order.remainingHold(m_llm, 1, now))
                 continue;
             order.placed(m_llm, 1, now);
             running += 2;
--- a/src/libreachlead/requestdigest.cpp
+++ b/src/libreachlead/requestdigest.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-RequestDigest digestOf(const RequestContent &content)
+RequestDigest computeDigest(const RequestContent &content)
 {
     const Hash hash(EVP_MD_CTX_new(), &EVP_MD_CTX_free);
     EVP_DigestInit_ex(hash.get(), EVP_sha256(), nullptr);
@@ -51,12 +51,12 @@
     std::array<unsigned char, EVP_MAX_MD_SIZE> bytes{};
     EVP_DigestFinal_ex(hash.get(), bytes.data(), nullptr);
     RequestDigest digest;
-    digest.mark = markOf(content);
-    std::memcpy(&digest.proof, bytes.data(), sizeof digest.proof);
+    digest.fastHash = computeFastHash(content);
+    std::memcpy(&digest.secureHash, bytes.data(), sizeof digest.secureHash);
     return digest;
 }
 
-std::uint64_t markOf(const RequestContent &content)
+std::uint64_t computeFastHash(const RequestContent &content)
 {
     const std::uint64_t seed = XXH64(content.target.data(), content.target.size(), 0);
     return XXH64(content.body.data(), content.body.size(), seed);
@@ -64,7 +64,7 @@
 
 std::string toString(const RequestDigest &digest)
 {
-    return fmt::format("{:016x}{:016x}", digest.mark, digest.proof);
+    return fmt::format("{:016x}{:016x}", digest.fastHash, digest.secureHash);
 }
 
 std::optional<RequestDigest> parseRequestDigest(std::string_view text)
--- a/src/libreachlead/requestlife.cpp
+++ b/src/libreachlead/requestlifecycle.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/requestlife.h>
+#include <reachlead/requestlifecycle.h>
 
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
@@ -18,11 +18,11 @@
 { };
 struct Began
 { };
-struct SessionCut
+struct SessionLost
 { };
 struct Found
 { };
-struct PutBack
+struct Requeued
 { };
 struct Finished
 { };
@@ -48,22 +48,22 @@
 
     using none = front::none;
     // MSM numbers the states in the order of their first use as a source, then as a target;
-    // LifeState lists them in the same order.
+    // RequestState lists them in the same order.
     // clang-format off
     struct transition_table : boost::mpl::vector<
         front::Row<Queued,     Bound,      Sent,       none, none>,
         front::Row<Queued,     Finished,   Ended,      none, none>,
         front::Row<Sent,       Began,      Running,    none, none>,
-        front::Row<Sent,       PutBack,    Queued,     none, none>,
-        front::Row<Sent,       SessionCut, Recovering, none, none>,
+        front::Row<Sent,       Requeued,    Queued,     none, none>,
+        front::Row<Sent,       SessionLost, Recovering, none, none>,
         front::Row<Sent,       Finished,   Ended,      none, none>,
         front::Row<Running,    Began,      none,       none, none>,
-        front::Row<Running,    PutBack,    Queued,     none, none>,
-        front::Row<Running,    SessionCut, Recovering, none, none>,
+        front::Row<Running,    Requeued,    Queued,     none, none>,
+        front::Row<Running,    SessionLost, Recovering, none, none>,
         front::Row<Running,    Finished,   Ended,      none, none>,
         front::Row<Recovering, Found,      Running,    none, none>,
-        front::Row<Recovering, PutBack,    Queued,     none, none>,
-        front::Row<Recovering, SessionCut, none,       none, none>,
+        front::Row<Recovering, Requeued,    Queued,     none, none>,
+        front::Row<Recovering, SessionLost, none,       none, none>,
         front::Row<Recovering, Finished,   Ended,      none, none>
     > {};
     // clang-format on
@@ -77,7 +77,7 @@
 
 } // namespace
 
-class RequestLife::Impl : public msm::back::state_machine<MachineDef>
+class RequestLifecycle::Impl : public msm::back::state_machine<MachineDef>
 {
 public:
     template <class Event> bool move()
@@ -88,27 +88,27 @@
     }
 };
 
-RequestLife::RequestLife() : m_impl(std::make_unique<Impl>())
+RequestLifecycle::RequestLifecycle() : m_impl(std::make_unique<Impl>())
 {
     m_impl->start();
 }
 
-RequestLife::~RequestLife() = default;
-RequestLife::RequestLife(RequestLife &&) noexcept = default;
-RequestLife &RequestLife::operator=(RequestLife &&) noexcept = default;
+RequestLifecycle::~RequestLifecycle() = default;
+RequestLifecycle::RequestLifecycle(RequestLifecycle &&) noexcept = default;
+RequestLifecycle &RequestLifecycle::operator=(RequestLifecycle &&) noexcept = default;
 
-bool RequestLife::apply(LifeEvent event)
+bool RequestLifecycle::apply(RequestEvent event)
 {
     using Move = bool (Impl::*)();
-    constexpr std::array<Move, 6> moves{&Impl::move<Bound>,      &Impl::move<Began>,
-                                        &Impl::move<SessionCut>, &Impl::move<Found>,
-                                        &Impl::move<PutBack>,    &Impl::move<Finished>};
+    constexpr std::array<Move, 6> moves{&Impl::move<Bound>,       &Impl::move<Began>,
+                                        &Impl::move<SessionLost>, &Impl::move<Found>,
+                                        &Impl::move<Requeued>,    &Impl::move<Finished>};
     return (*m_impl.*moves[static_cast<std::size_t>(event)])();
 }
 
-LifeState RequestLife::state() const
+RequestState RequestLifecycle::state() const
 {
-    return static_cast<LifeState>(m_impl->current_state()[0]);
+    return static_cast<RequestState>(m_impl->current_state()[0]);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/retryshare.cpp
+++ b/src/libreachlead/retryshare.cpp
@@ -18,12 +18,12 @@
     return spans.back();
 }
 
-void RetryShare::first(const ServiceName &service, Time now)
+void RetryShare::recordFirstSend(const ServiceName &service, Time now)
 {
     ++current(service, now).firsts;
 }
 
-double RetryShare::left(const ServiceName &service, Time now)
+double RetryShare::remaining(const ServiceName &service, Time now)
 {
     current(service, now);
     const std::deque<Span> &spans = m_books[service].spans;
@@ -32,13 +32,13 @@
                                [&](double sum, const Span &span) { return sum + span.*field; });
     };
     const double part = m_bounds.slack / static_cast<double>(m_gateways);
-    const double allowed = safetyPart * (m_bounds.ratio * count(&Span::firsts) + part);
+    const double allowed = safetyFactor * (m_bounds.ratio * count(&Span::firsts) + part);
     return allowed - count(&Span::repeats);
 }
 
 bool RetryShare::take(const ServiceName &service, Time now)
 {
-    if (left(service, now) < 1.0)
+    if (remaining(service, now) < 1.0)
         return false;
     ++current(service, now).repeats;
     return true;
--- a/src/libreachlead/rosterduty.cpp
+++ b/src/libreachlead/rosterpublisher.cpp
@@ -1,16 +1,16 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/rosterduty.h>
+#include <reachlead/rosterpublisher.h>
 
 #include <algorithm>
 
-#include <reachlead/watchduty.h>
+#include <reachlead/watcherelection.h>
 
 namespace reachlead {
 
 /// The gateways that live, and those that have not been silent for long.
-Roster RosterDuty::wanted(const Roster &known, const Roster &live, Time now)
+Roster RosterPublisher::wanted(const Roster &known, const Roster &live, Time now)
 {
     std::erase_if(m_silentSince, [&](const auto &it) {
         return live.contains(it.first) || !known.contains(it.first);
@@ -26,8 +26,8 @@
     return made;
 }
 
-std::optional<Roster> RosterDuty::due(const Roster &known, const Roster &live, std::size_t rank,
-                                      Time now)
+std::optional<Roster> RosterPublisher::rosterToWrite(const Roster &known, const Roster &live,
+                                                     std::size_t rank, Time now)
 {
     m_lookedAt = now;
     Roster made = wanted(known, live, now);
@@ -37,9 +37,9 @@
     }
     if (!m_differsSince)
         m_differsSince = now;
-    const std::size_t place = std::min(rank, WatchDuty::watchers - 1);
-    const Duration wait = perRank * (place + 1);
-    const bool isPaused = m_wroteAt && now < *m_wroteAt + writePause;
+    const std::size_t place = std::min(rank, WatcherElection::watcherCount - 1);
+    const Duration wait = delayPerPosition * (place + 1);
+    const bool isPaused = m_wroteAt && now < *m_wroteAt + minWriteInterval;
     if (now < *m_differsSince + wait || isPaused)
         return std::nullopt;
     m_wroteAt = now;
--- a/src/libreachlead/rosterduty_test.cpp
+++ b/src/libreachlead/rosterpublisher_test.cpp
@@ -11,7 +11,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/rosterduty.h>
+#include <reachlead/rosterpublisher.h>
 
 namespace reachlead {
 
@@ -45,14 +45,14 @@
     void fleetThatStartsIsWrittenInFewCalls()
     {
         for (const std::size_t size : {std::size_t{30}, std::size_t{300}, std::size_t{1000}}) {
-            std::array<RosterDuty, 3> watchers;
+            std::array<RosterPublisher, 3> watchers;
             Roster known;
             int writes = 0;
             for (int n = 0; n < 60; ++n) {
                 const Roster live = fleet(std::min(size, size * (n + 1) / 3));
                 for (std::size_t rank = 0; rank < watchers.size(); ++rank) {
                     const auto roster =
-                        watchers[rank].due(known, live, rank, start + n * seconds(1));
+                        watchers[rank].rosterToWrite(known, live, rank, start + n * seconds(1));
                     if (!roster)
                         continue;
                     known = *roster;
@@ -75,7 +75,7 @@
         for (unsigned seed = 1; seed <= 20; ++seed) {
             std::mt19937 random(seed);
             std::vector<Roster> history{{}};
-            std::vector<RosterDuty> duties(writers);
+            std::vector<RosterPublisher> duties(writers);
             std::vector<std::size_t> seen(writers, 0); ///< index into the history
             std::vector<Roster> live(writers);
             const Roster all = fleet(size);
@@ -87,7 +87,8 @@
                         std::max(seen[it],
                                  history.size() - 1
                                      - std::min<std::size_t>(history.size() - 1, random() % 4));
-                    const auto roster = duties[it].due(history[seen[it]], live[it], it % 3, now);
+                    const auto roster =
+                        duties[it].rosterToWrite(history[seen[it]], live[it], it % 3, now);
                     if (!roster || seen[it] + 1 != history.size())
                         continue;
                     CPPUNIT_ASSERT(roster->size() >= history.back().size());
@@ -100,43 +101,46 @@
 
     void restartChangesNothing()
     {
-        RosterDuty duty;
+        RosterPublisher duty;
         const Roster known = fleet(20);
         for (int n = 0; n < 25; ++n)
-            CPPUNIT_ASSERT(!duty.due(known, fleet(12), 0, start + n * seconds(1)));
-        CPPUNIT_ASSERT(!duty.due(known, known, 0, start + seconds(25)));
+            CPPUNIT_ASSERT(!duty.rosterToWrite(known, fleet(12), 0, start + n * seconds(1)));
+        CPPUNIT_ASSERT(!duty.rosterToWrite(known, known, 0, start + seconds(25)));
         // Silence counts from its begin.
         for (int n = 26; n < 50; ++n)
-            CPPUNIT_ASSERT(!duty.due(known, fleet(12), 0, start + n * seconds(1)));
+            CPPUNIT_ASSERT(!duty.rosterToWrite(known, fleet(12), 0, start + n * seconds(1)));
     }
 
     void goneGatewayIsTakenOff()
     {
-        RosterDuty duty;
+        RosterPublisher duty;
         const Roster known = fleet(20);
         std::optional<Roster> written;
         for (int n = 0; n < 40 && !written; ++n)
-            written = duty.due(known, fleet(19), 0, start + n * seconds(1));
+            written = duty.rosterToWrite(known, fleet(19), 0, start + n * seconds(1));
         CPPUNIT_ASSERT(written && *written == fleet(19));
     }
 
     void movedGatewayIsWrittenAnew()
     {
-        RosterDuty duty;
+        RosterPublisher duty;
         Roster live = fleet(5);
         live[VmName("vm-3")].address.address = "10.9.9.9";
-        duty.due(fleet(5), live, 0, start);
-        const auto written = duty.due(fleet(5), live, 0, start + RosterDuty::perRank);
+        duty.rosterToWrite(fleet(5), live, 0, start);
+        const auto written =
+            duty.rosterToWrite(fleet(5), live, 0, start + RosterPublisher::delayPerPosition);
         CPPUNIT_ASSERT(written.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("10.9.9.9"), written->at(VmName("vm-3")).address.address);
     }
 
     void nextWritesWhereTheFirstDoesNot()
     {
-        RosterDuty duty;
-        duty.due({}, fleet(3), 1, start);
-        CPPUNIT_ASSERT(!duty.due({}, fleet(3), 1, start + RosterDuty::perRank));
-        CPPUNIT_ASSERT(duty.due({}, fleet(3), 1, start + 2 * RosterDuty::perRank));
+        RosterPublisher duty;
+        duty.rosterToWrite({}, fleet(3), 1, start);
+        CPPUNIT_ASSERT(
+            !duty.rosterToWrite({}, fleet(3), 1, start + RosterPublisher::delayPerPosition));
+        CPPUNIT_ASSERT(
+            duty.rosterToWrite({}, fleet(3), 1, start + 2 * RosterPublisher::delayPerPosition));
     }
 
     /// Gateways that cannot reach those of the other half; each half's first watcher writes.
@@ -144,14 +148,14 @@
     {
         const Roster here = fleet(10);
         const Roster there = fleet(10, 10);
-        std::array<RosterDuty, 2> writers;
+        std::array<RosterPublisher, 2> writers;
         Roster known;
         std::size_t complete = 0;
         for (int n = 0; n < 300; ++n) {
             const Time now = start + n * seconds(1);
-            if (const auto roster = writers[0].due(known, here, 0, now))
+            if (const auto roster = writers[0].rosterToWrite(known, here, 0, now))
                 known = *roster;
-            if (const auto roster = writers[1].due(known, there, 0, now))
+            if (const auto roster = writers[1].rosterToWrite(known, there, 0, now))
                 known = *roster;
             complete += known.size() == 20 ? 1 : 0;
         }
--- a/src/libreachlead/routercore.cpp
+++ b/src/libreachlead/routercore.cpp
@@ -117,15 +117,15 @@
 
 Duration RouterCore::drawPause(unsigned retry)
 {
-    std::uniform_int_distribution<Duration::rep> spread(0, retryPause(retry).count());
+    std::uniform_int_distribution<Duration::rep> spread(0, maxRetryBackoff(retry).count());
     return Duration(spread(m_random));
 }
 
-bool RouterCore::apply(Request &request, LifeEvent event)
+bool RouterCore::apply(Request &request, RequestEvent event)
 {
     if (request.life.apply(event))
         return true;
-    m_counters->add(Count::ForbiddenTransitions);
+    m_counters->add(Counter::ForbiddenTransitions);
     return false;
 }
 
@@ -155,9 +155,9 @@
         target->queue->setPolicies(policies);
 }
 
-void RouterCore::setLimitPart(double part)
+void RouterCore::setAccountLimitShare(double part)
 {
-    m_limiter.setPart(part);
+    m_limiter.setLimitShare(part);
 }
 
 void RouterCore::stop()
@@ -167,7 +167,7 @@
 
 // ---- arrival ----------------------------------------------------------------------------
 
-void RouterCore::arrive(CallerRequest request, Time now)
+void RouterCore::submitRequest(CallerRequest request, Time now)
 {
     const RequestId id = request.id;
     const ClassPolicy *cls = m_policies->findClass(request.cls);
@@ -180,8 +180,8 @@
         refuse(id, kind, request.target.text);
         return;
     }
-    m_counters->add(Count::RequestsAccepted);
-    m_budgets[cls->name].firstTry();
+    m_counters->add(Counter::RequestsAccepted);
+    m_budgets[cls->name].recordFirstAttempt();
     auto record = std::make_unique<Request>();
     record->cls = *cls;
     record->arrived = now;
@@ -224,9 +224,9 @@
 {
     if (m_crashes.isEmpty())
         return false;
-    const RequestContent content = contentOf(ask.account, ask.call);
-    return m_crashes.mayKnow(markOf(content))
-        && m_crashes.leftFor(digestOf(content), now).has_value();
+    const RequestContent content = requestContent(ask.account, ask.call);
+    return m_crashes.mayContain(computeFastHash(content))
+        && m_crashes.remainingQuarantine(computeDigest(content), now).has_value();
 }
 
 /// The wait is the number of requests to be served before this one, times the time between
@@ -241,7 +241,7 @@
                             return it.first == cls.name ? sum : sum + it.second.floor;
                         });
     const double rate = 1.0 - std::min(0.9, floors);
-    const auto ahead = static_cast<double>(target.queue->ahead(cls.tier));
+    const auto ahead = static_cast<double>(target.queue->sizeAtOrAbove(cls.tier));
     const double overdue = std::max(0.0, toSeconds(now - target.poppedAt) - target.popSeconds);
     const double wait = ahead * target.popSeconds / rate + overdue;
     return wait > toSeconds(cls.firstTokenTarget);
@@ -251,10 +251,10 @@
 /// deadline: engine time spent on it would be wasted, and its place serves one that can be.
 bool RouterCore::tooLateToStart(const Request &request, const Target &target, Time now)
 {
-    if (request.cls.late != LatePolicy::Drop || !m_strategy.dropLate || !request.ask.model)
+    if (request.cls.late != LatePolicy::Drop || !m_strategy.dropLate || !request.ask.isModel)
         return false;
     const auto it = m_medianLengths.find(request.cls.name);
-    if (it == m_medianLengths.end() || !it->second.known())
+    if (it == m_medianLengths.end() || !it->second.hasEnoughSamples())
         return false;
     const double left = std::max(1.0, it->second.value() - static_cast<double>(request.tokens));
     const double run = left * medianGap(target) / 1e6;
@@ -264,8 +264,8 @@
 void RouterCore::refuse(const RequestId &id, ErrorKind kind, std::string reason)
 {
     m_counters->refused(kind);
-    AnswerEnd end{kind, errorRow(kind).outcome, std::move(reason), 0};
-    m_actions.emplace_back(TellCaller{id, std::move(end)});
+    AnswerResult end{kind, errorRow(kind).outcome, std::move(reason), 0};
+    m_actions.emplace_back(SendToCaller{id, std::move(end)});
 }
 
 void RouterCore::enqueue(Request &request, Time now)
@@ -294,7 +294,7 @@
     refuseWithoutUpstream(now);
     giveUpWaiting(now);
     watchHeartbeats(now);
-    m_crashes.forgetOld(now);
+    m_crashes.dropExpired(now);
     pumpAll(now);
     updateGauges();
 }
@@ -349,7 +349,7 @@
         if (!request)
             continue;
         const bool drops = request->cls.late == LatePolicy::Drop && m_strategy.dropLate;
-        const Time longest = request->arrived + m_tuning.longestOpen;
+        const Time longest = request->arrived + m_tuning.maxOpenTime;
         if (!drops && now < longest) {
             request->lookAt = longest;
             m_deadlines.emplace(longest, id);
@@ -357,27 +357,27 @@
         }
         // What is known of an attempt that is out decides the outcome, not the deadline.
         switch (request->life.state()) {
-        case LifeState::Queued:
+        case RequestState::Queued:
             finish(*request,
                    {ErrorKind::DeadlineQueued, request->tokens > 0 ? Outcome::Ran : Outcome::NotRun,
                     "", 0},
                    now);
             break;
-        case LifeState::Running:
+        case RequestState::Running:
             // A stream that runs has cost the engine something; whether a call had its effect is
             // not known before its answer.
             cancelAtAgent(*request);
             finish(*request,
                    {ErrorKind::DeadlineRunning,
-                    request->ask.model ? Outcome::Ran : Outcome::Unknown, "", 0},
+                    request->ask.isModel ? Outcome::Ran : Outcome::Unknown, "", 0},
                    now);
             break;
-        case LifeState::Sent:
-        case LifeState::Recovering:
+        case RequestState::Sent:
+        case RequestState::Recovering:
             cancelAtAgent(*request);
             finish(*request, {ErrorKind::DeadlineRunning, Outcome::Unknown, "", 0}, now);
             break;
-        case LifeState::Ended:
+        case RequestState::Ended:
             break;
         }
     }
@@ -393,9 +393,9 @@
     return names;
 }
 
-std::vector<RouteView> RouterCore::explain(const TargetName &target, Time now)
+std::vector<RouteCandidate> RouterCore::explain(const TargetName &target, Time now)
 {
-    std::vector<RouteView> views;
+    std::vector<RouteCandidate> views;
     const auto it = m_targets.find(target);
     if (it == m_targets.end())
         return views;
@@ -404,7 +404,7 @@
         if (status.target != target)
             continue;
         Agent &agent = *m_agents.at(status.name);
-        std::string reason = ruledOut(agent, now);
+        std::string reason = exclusionReason(agent, now);
         if (reason.empty() && !hasRoom(agent, std::nullopt))
             reason = "no room";
         views.push_back({status, placementCost(candidateOf(agent, median)), std::move(reason)});
--- a/src/libreachlead/routercore_agents.cpp
+++ b/src/libreachlead/routercore_agents.cpp
@@ -8,7 +8,7 @@
 
 namespace reachlead {
 
-void RouterCore::agentUp(const Welcome &welcome, Time now)
+void RouterCore::agentConnected(const Welcome &welcome, Time now)
 {
     auto &agent = m_agents[welcome.vm];
     if (!agent) {
@@ -31,8 +31,8 @@
     agent->up = true;
     agent->heardAt = now;
     targetOf(agent->target).upAt = now;
-    m_counters->add(Count::SessionsOpened);
-    m_counters->shift(Gauge::Sessions, 1);
+    m_counters->add(Counter::SessionsOpened);
+    m_counters->adjust(Gauge::Sessions, 1);
     takeLoad(*agent, welcome.load);
     if (agent->leavingByList)
         m_actions.emplace_back(SendToAgent{agent->name, Leaving{true}});
@@ -40,17 +40,17 @@
     pump(targetOf(agent->target), now);
 }
 
-void RouterCore::agentDown(const VmName &name, Time now)
+void RouterCore::agentDisconnected(const VmName &name, Time now)
 {
     Agent *agent = findAgent(name);
     if (!agent || !agent->up)
         return;
     agent->up = false;
-    m_counters->add(Count::SessionsLost);
-    m_counters->shift(Gauge::Sessions, -1);
+    m_counters->add(Counter::SessionsLost);
+    m_counters->adjust(Gauge::Sessions, -1);
     for (const RequestId &id : agent->mine) {
         Request *request = findRequest(id);
-        if (!request || !apply(*request, LifeEvent::SessionCut))
+        if (!request || !apply(*request, RequestEvent::SessionLost))
             continue;
         const bool mayRepeat = request->ask.repeatable;
         doubt(*request, now + (mayRepeat ? m_tuning.repeatableWait : m_tuning.recoveryWait));
@@ -69,19 +69,19 @@
             agent.mine.erase(id);
             continue;
         }
-        if (request->life.state() != LifeState::Recovering)
+        if (request->life.state() != RequestState::Recovering)
             continue;
         if (request->boundTo != agent.incarnation) {
             attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "agent restarted", now);
             continue;
         }
-        m_counters->add(Count::Queries);
+        m_counters->add(Counter::Queries);
         doubt(*request, now + m_tuning.recoveryWait);
         const std::uint64_t unread = request->tokens - request->taken;
         const std::uint64_t credit =
             m_tuning.creditTokens > unread ? m_tuning.creditTokens - unread : 0;
         m_actions.emplace_back(
-            SendToAgent{agent.name, Query{id, request->attempt, request->tokens, credit}});
+            SendToAgent{agent.name, AttemptQuery{id, request->attempt, request->tokens, credit}});
     }
 }
 
@@ -92,7 +92,7 @@
         const auto [until, id] = *m_doubts.begin();
         m_doubts.erase(m_doubts.begin());
         Request *request = findRequest(id);
-        if (!request || request->life.state() != LifeState::Recovering
+        if (!request || request->life.state() != RequestState::Recovering
             || request->doubtUntil != until)
             continue; // settled since, or waiting for longer
         attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "agent did not return",
@@ -115,7 +115,7 @@
         return; // doubled or overtaken
     agent->beatSequence = beat.sequence;
     agent->heardAt = now;
-    m_counters->add(Count::HeartbeatsHeard);
+    m_counters->add(Counter::HeartbeatsReceived);
     takeLoad(*agent, beat.load);
     pump(targetOf(agent->target), now);
 }
@@ -126,7 +126,7 @@
         if (!agent->up || now - agent->heardAt <= m_tuning.heartbeatLimit)
             continue;
         m_actions.emplace_back(DropSession{name, "no heartbeat"});
-        agentDown(name, now);
+        agentDisconnected(name, now);
     }
 }
 
@@ -138,7 +138,7 @@
     agent.full = false;
 }
 
-void RouterCore::membership(const VmName &name, bool leaving, Time now)
+void RouterCore::setAgentLeaving(const VmName &name, bool leaving, Time now)
 {
     Agent *agent = findAgent(name);
     if (!agent || agent->leavingByList == leaving)
@@ -149,12 +149,12 @@
     pump(targetOf(agent->target), now);
 }
 
-void RouterCore::forgetAgent(const VmName &name, Time now)
+void RouterCore::removeAgent(const VmName &name, Time now)
 {
     Agent *agent = findAgent(name);
     if (!agent)
         return;
-    agentDown(name, now);
+    agentDisconnected(name, now);
     const std::vector<RequestId> held(agent->mine.begin(), agent->mine.end());
     for (const RequestId &id : held) {
         if (Request *request = findRequest(id))
--- a/src/libreachlead/routercore_answers.cpp
+++ b/src/libreachlead/routercore_answers.cpp
@@ -34,18 +34,18 @@
     Request *request = findRequest(id);
     if (request && request->attempt == attempt && request->agent == agent.name)
         return request;
-    m_counters->add(Count::StaleFrames);
+    m_counters->add(Counter::StaleFrames);
     return nullptr;
 }
 
 void RouterCore::handle(Agent & /*agent*/, const Welcome & /*message*/, Time /*now*/)
 {
-    m_counters->add(Count::HostileFrames); // Welcome opens a session and never comes again
+    m_counters->add(Counter::HostileFrames); // Welcome opens a session and never comes again
 }
 
 void RouterCore::handle(Agent & /*agent*/, const Challenge & /*message*/, Time /*now*/)
 {
-    m_counters->add(Count::HostileFrames); // the same holds for Challenge
+    m_counters->add(Counter::HostileFrames); // the same holds for Challenge
 }
 
 void RouterCore::handle(Agent &agent, const LoadReport &message, Time now)
@@ -70,7 +70,7 @@
 void RouterCore::handle(Agent &agent, const Started &message, Time /*now*/)
 {
     if (Request *request = current(agent, message.id, message.attempt))
-        apply(*request, LifeEvent::Began);
+        apply(*request, RequestEvent::ExecutionStarted);
 }
 
 void RouterCore::handle(Agent &agent, const Chunk &message, Time now)
@@ -81,7 +81,7 @@
     if (message.from != request->tokens) {
         // A frame out of its place must never reach the caller: the answer would have a hole or
         // a repetition.
-        m_counters->add(Count::StaleFrames);
+        m_counters->add(Counter::StaleFrames);
         if (message.from > request->tokens) {
             cancelAtAgent(*request);
             attemptFailed(*request, ErrorKind::AnswerCorrupt, Outcome::Ran, "gap in the answer",
@@ -89,20 +89,21 @@
         }
         return;
     }
-    if (request->life.state() == LifeState::Sent && !apply(*request, LifeEvent::Began))
+    if (request->life.state() == RequestState::Sent
+        && !apply(*request, RequestEvent::ExecutionStarted))
         return;
     request->tokens += message.count;
     request->attemptTokens += message.count;
     XXH64_update(&request->hashState, message.text.data(), message.text.size());
-    if (request->text.size() + message.text.size() <= m_tuning.longestKeptText)
+    if (request->text.size() + message.text.size() <= m_tuning.maxResumeTextBytes)
         request->text += message.text;
     else
         request->textComplete = false;
     m_limiter.chargeTokens(request->ask.account, static_cast<double>(message.count), now);
-    m_actions.emplace_back(TellCaller{message.id, AnswerText{message.text, message.count}});
+    m_actions.emplace_back(SendToCaller{message.id, AnswerText{message.text, message.count}});
 }
 
-void RouterCore::handle(Agent &agent, const End &message, Time now)
+void RouterCore::handle(Agent &agent, const AttemptResult &message, Time now)
 {
     Request *request = current(agent, message.id, message.attempt);
     if (!request)
@@ -116,37 +117,37 @@
     pump(targetOf(agent.target), now);
 }
 
-void RouterCore::handle(Agent &agent, const QueryReply &message, Time now)
+void RouterCore::handle(Agent &agent, const AttemptQueryReply &message, Time now)
 {
     Request *request = current(agent, message.id, message.attempt);
-    if (!request || request->life.state() != LifeState::Recovering)
+    if (!request || request->life.state() != RequestState::Recovering)
         return;
     switch (message.state) {
     case AttemptState::Held:
-        m_counters->add(Count::Reattached);
-        apply(*request, LifeEvent::Found);
+        m_counters->add(Counter::Reattached);
+        apply(*request, RequestEvent::Recovered);
         break;
-    case AttemptState::NeverSeen:
+    case AttemptState::NeverReceived:
         attemptFailed(*request, ErrorKind::AgentLost, Outcome::NotRun, "never reached the agent",
                       now);
         break;
-    case AttemptState::Forgotten:
+    case AttemptState::Evicted:
         attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "no record at the agent",
                       now);
         break;
     }
 }
 
-void RouterCore::handle(Agent &agent, const UpstreamLoss &message, Time now)
+void RouterCore::handle(Agent &agent, const UpstreamCrash &message, Time now)
 {
-    const UpstreamId life(agent.name.text, agent.incarnation.value + message.life);
-    if (m_crashes.ended(message.request, tagOf(life), now))
-        m_counters->add(Count::QuarantinesBegun);
+    const UpstreamId life(agent.name.text, agent.incarnation.value + message.upstreamIncarnation);
+    if (m_crashes.recordCrash(message.request, upstreamHash(life), now))
+        m_counters->add(Counter::QuarantinesStarted);
 }
 
-void RouterCore::finishWhole(Request &request, const End &message, Time now)
+void RouterCore::finishWhole(Request &request, const AttemptResult &message, Time now)
 {
-    if (request.ask.model) {
+    if (request.ask.isModel) {
         const std::uint64_t hash = XXH64_digest(&request.hashState);
         if (message.tokens != request.attemptTokens || message.hash != hash) {
             attemptFailed(request, ErrorKind::AnswerCorrupt, Outcome::Ran, "hash or count differs",
@@ -158,13 +159,13 @@
         constexpr double half = 0.5;
         m_medianLengths.try_emplace(request.cls.name, half).first->second.learn(length);
     } else {
-        AnswerWhole whole{message.status, message.headers, message.body};
-        m_actions.emplace_back(TellCaller{request.ask.id, std::move(whole)});
+        ServiceResponse whole{message.status, message.headers, message.body};
+        m_actions.emplace_back(SendToCaller{request.ask.id, std::move(whole)});
     }
-    const RequestContent content = contentOf(request.ask.account, request.ask.call);
-    if (!m_crashes.isEmpty() && m_crashes.mayKnow(markOf(content)))
-        m_crashes.completed(digestOf(content));
-    m_counters->add(Count::RequestsCompleted);
+    const RequestContent content = requestContent(request.ask.account, request.ask.call);
+    if (!m_crashes.isEmpty() && m_crashes.mayContain(computeFastHash(content)))
+        m_crashes.recordCompletion(computeDigest(content));
+    m_counters->add(Counter::RequestsCompleted);
     finish(request, {ErrorKind::None, Outcome::Ran, "", request.tokens}, now);
 }
 
@@ -227,7 +228,7 @@
     if (request.tokens > 0 && !request.textComplete)
         return kind;
     const bool late = now >= request.deadline;
-    if (request.attempt - request.preemptions >= m_tuning.mostAttempts || late)
+    if (request.attempt - request.preemptions >= m_tuning.maxDispatchAttempts || late)
         return kind;
     if (!costsNothing(kind) && !m_budgets[request.cls.name].take())
         return ErrorKind::RetryBudgetSpent;
@@ -238,7 +239,7 @@
 {
     m_counters->retried(kind);
     unbind(request);
-    if (!apply(request, LifeEvent::PutBack))
+    if (!apply(request, RequestEvent::Requeued))
         return;
     if (kind == ErrorKind::Preempted)
         ++request.preemptions;
@@ -258,9 +259,9 @@
 }
 
 /// Tells the final word and forgets the request.
-void RouterCore::finish(Request &request, AnswerEnd end, Time now)
+void RouterCore::finish(Request &request, AnswerResult end, Time now)
 {
-    if (!apply(request, LifeEvent::Finished))
+    if (!apply(request, RequestEvent::Finished))
         return;
     const RequestId id = request.ask.id;
     end.tokens = request.tokens;
@@ -270,9 +271,9 @@
         end.outcome = request.tokens > 0 ? Outcome::Ran : Outcome::Unknown;
     const bool onTime = now <= request.deadline;
     if (end.kind == ErrorKind::None && onTime)
-        m_counters->add(Count::TokensDelivered, request.tokens);
+        m_counters->add(Counter::TokensDelivered, request.tokens);
     else
-        m_counters->add(Count::TokensWasted, request.tokens);
+        m_counters->add(Counter::TokensWasted, request.tokens);
     if (end.kind != ErrorKind::None)
         m_counters->refused(end.kind);
     if (const auto it = m_targets.find(request.ask.target); it != m_targets.end()) {
@@ -287,11 +288,11 @@
     m_deadlines.erase({request.lookAt, id});
     m_delayed.erase({request.lookAt, id});
     m_limiter.release(request.ask.account);
-    m_actions.emplace_back(TellCaller{id, std::move(end)});
+    m_actions.emplace_back(SendToCaller{id, std::move(end)});
     m_requests.erase(id);
 }
 
-void RouterCore::callerGone(const RequestId &id, Time now)
+void RouterCore::callerDisconnected(const RequestId &id, Time now)
 {
     Request *request = findRequest(id);
     if (!request)
@@ -299,18 +300,18 @@
     cancelAtAgent(*request);
     if (Agent *agent = findAgent(request->agent))
         agent->circuit.abandoned();
-    finish(*request, {ErrorKind::CallerGone, Outcome::Unknown, "", 0}, now);
+    finish(*request, {ErrorKind::CallerDisconnected, Outcome::Unknown, "", 0}, now);
     pumpAll(now);
 }
 
-void RouterCore::callerTook(const RequestId &id, std::uint64_t tokens)
+void RouterCore::callerConsumed(const RequestId &id, std::uint64_t tokens)
 {
     Request *request = findRequest(id);
     if (!request)
         return;
     request->taken += tokens;
     const Agent *agent = findAgent(request->agent);
-    if (!agent || !agent->up || request->life.state() == LifeState::Recovering)
+    if (!agent || !agent->up || request->life.state() == RequestState::Recovering)
         return;
     m_actions.emplace_back(SendToAgent{agent->name, Credit{id, request->attempt, tokens}});
 }
--- a/src/libreachlead/routercore_dispatch.cpp
+++ b/src/libreachlead/routercore_dispatch.cpp
@@ -3,7 +3,7 @@
 
 #include "routercore_pvt.h"
 
-#include <reachlead/claimbook.h>
+#include <reachlead/claimtable.h>
 
 #include <algorithm>
 #include <numeric>
@@ -60,13 +60,13 @@
     }
     const std::string &key = request->ask.idempotencyKey;
     if (key.empty())
-        place(*request, *agents[*target.placement->choose(open, m_random)]);
+        place(*request, *agents[*target.placement->select(open, m_random)]);
     else
         place(*request, *agentOfKey(request->ask, agents));
     return true;
 }
 
-std::string RouterCore::ruledOut(Agent &agent, Time now) const
+std::string RouterCore::exclusionReason(Agent &agent, Time now) const
 {
     if (!agent.up)
         return "no session";
@@ -128,7 +128,7 @@
     std::vector<Agent *> standing;
     for (const VmName &name : target.agents) {
         Agent &agent = *m_agents.at(name);
-        if (ruledOut(agent, now).empty())
+        if (exclusionReason(agent, now).empty())
             standing.push_back(&agent);
     }
     const std::optional<Tier> tier = target.queue->nextTier();
@@ -159,7 +159,7 @@
 
 void RouterCore::place(Request &request, Agent &agent)
 {
-    if (!apply(request, LifeEvent::Bound))
+    if (!apply(request, RequestEvent::Assigned))
         return;
     request.agent = agent.name;
     request.boundTo = agent.incarnation;
@@ -168,19 +168,19 @@
     XXH64_reset(&request.hashState, 0);
     agent.mine.insert(request.ask.id);
     agent.circuit.sent();
-    m_counters->add(Count::Dispatched);
+    m_counters->add(Counter::Dispatched);
     if (request.tokens > 0)
-        m_counters->add(Count::Resumed);
+        m_counters->add(Counter::Resumed);
 
     Dispatch message;
     message.id = request.ask.id;
     message.attempt = request.attempt;
     message.account = request.ask.account;
     message.cls = request.cls.name;
-    message.tier = m_strategy.tellTier ? static_cast<std::uint8_t>(request.cls.tier) : 0;
+    message.tier = m_strategy.sendTier ? static_cast<std::uint8_t>(request.cls.tier) : 0;
     message.repeatable = request.ask.repeatable;
-    message.stream = request.ask.model;
-    message.preemptible = request.preemptions < m_tuning.mostPreemptions && request.textComplete;
+    message.stream = request.ask.isModel;
+    message.preemptible = request.preemptions < m_tuning.maxPreemptions && request.textComplete;
     message.floor = request.cls.floor;
     message.idempotencyKey = request.ask.idempotencyKey;
     message.interTokenMicros =
--- a/src/libreachlead/routercore_pvt.h
+++ b/src/libreachlead/routercore_pvt.h
@@ -19,7 +19,7 @@
 {
     CallerRequest ask;
     ClassPolicy cls; ///< as it stood at arrival
-    RequestLife life;
+    RequestLifecycle life;
     Time arrived;
     Time deadline; ///< for the whole answer
     Time doubtUntil{}; ///< while recovering: when waiting for the agent ends
@@ -63,7 +63,8 @@
     std::uint32_t used() const
     {
         const std::uint32_t held = load.running + load.queued;
-        const std::uint32_t others = held > load.yours ? held - load.yours : 0;
+        const std::uint32_t others =
+            held > load.recipientRequests ? held - load.recipientRequests : 0;
         return others + static_cast<std::uint32_t>(mine.size());
     }
 };
--- a/src/libreachlead/routercore_test.cpp
+++ b/src/libreachlead/routercore_test.cpp
@@ -84,7 +84,7 @@
 
     void up(const std::string &vm, std::uint32_t window = 4, Incarnation inc = Incarnation{1})
     {
-        m_core->agentUp(welcome(vm, window, inc), m_now);
+        m_core->agentConnected(welcome(vm, window, inc), m_now);
         collect();
     }
 
@@ -99,7 +99,7 @@
         request.target = modelTarget("m");
         request.repeatable = repeatable;
         const RequestId id = request.id;
-        m_core->arrive(std::move(request), m_now);
+        m_core->submitRequest(std::move(request), m_now);
         collect();
         return id;
     }
@@ -138,24 +138,24 @@
     {
         std::vector<Event> list;
         for (const RouterAction &action : m_actions) {
-            const auto *tell = std::get_if<TellCaller>(&action);
+            const auto *tell = std::get_if<SendToCaller>(&action);
             if (const auto *event = tell ? std::get_if<Event>(&tell->event) : nullptr)
                 list.push_back(*event);
         }
         return list;
     }
 
-    AnswerEnd onlyEnd() const
+    AnswerResult onlyEnd() const
     {
-        const auto ends = told<AnswerEnd>();
+        const auto ends = told<AnswerResult>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ends.size());
         return ends.front();
     }
 
-    static End endOf(const RequestId &id, Attempt attempt, const std::string &text,
-                     std::uint64_t tokens)
+    static AttemptResult endOf(const RequestId &id, Attempt attempt, const std::string &text,
+                               std::uint64_t tokens)
     {
-        End end;
+        AttemptResult end;
         end.id = id;
         end.attempt = attempt;
         end.tokens = tokens;
@@ -163,9 +163,10 @@
         return end;
     }
 
-    static End failure(const RequestId &id, Attempt attempt, ErrorKind kind, Outcome outcome)
+    static AttemptResult failure(const RequestId &id, Attempt attempt, ErrorKind kind,
+                                 Outcome outcome)
     {
-        End end = endOf(id, attempt, "", 0);
+        AttemptResult end = endOf(id, attempt, "", 0);
         end.kind = kind;
         end.outcome = outcome;
         return end;
@@ -182,7 +183,7 @@
         hear("a", endOf(id, 1, "x y", 2));
         CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::None);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_core->openRequests());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, m_counters.value(Count::TokensDelivered));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, m_counters.value(Counter::TokensDelivered));
     }
 
     void corruptAnswerIsNotWhole()
@@ -218,8 +219,8 @@
         hear("a", Chunk{id, 1, 0, 1, "stale"});
         CPPUNIT_ASSERT(told<AnswerText>().empty());
         hear("a", endOf(id, 1, "stale", 1));
-        CPPUNIT_ASSERT(told<AnswerEnd>().empty());
-        CPPUNIT_ASSERT(m_counters.value(Count::StaleFrames) >= 2);
+        CPPUNIT_ASSERT(told<AnswerResult>().empty());
+        CPPUNIT_ASSERT(m_counters.value(Counter::StaleFrames) >= 2);
         hear("a", Chunk{id, 2, 0, 1, "good"});
         CPPUNIT_ASSERT_EQUAL(std::string("good"), told<AnswerText>().at(0).text);
     }
@@ -272,13 +273,13 @@
     {
         up("a");
         const RequestId id = ask("live", false);
-        m_core->agentDown(VmName("a"), m_now);
+        m_core->agentDisconnected(VmName("a"), m_now);
         collect();
-        CPPUNIT_ASSERT(told<AnswerEnd>().empty()); // in doubt: nothing is told yet
-        m_core->agentUp(welcome("a"), m_now);
+        CPPUNIT_ASSERT(told<AnswerResult>().empty()); // in doubt: nothing is told yet
+        m_core->agentConnected(welcome("a"), m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Query>().size());
-        hear("a", QueryReply{id, 1, AttemptState::NeverSeen});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<AttemptQuery>().size());
+        hear("a", AttemptQueryReply{id, 1, AttemptState::NeverReceived});
         pass(seconds(1));
         CPPUNIT_ASSERT_EQUAL(Attempt{2}, sent<Dispatch>().at(0).second.attempt);
     }
@@ -287,10 +288,10 @@
     {
         up("a");
         ask("live", false);
-        m_core->agentDown(VmName("a"), m_now);
-        m_core->agentUp(welcome("a", 4, Incarnation{2}), m_now);
+        m_core->agentDisconnected(VmName("a"), m_now);
+        m_core->agentConnected(welcome("a", 4, Incarnation{2}), m_now);
         collect();
-        CPPUNIT_ASSERT(sent<Query>().empty());
+        CPPUNIT_ASSERT(sent<AttemptQuery>().empty());
         CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::OutcomeUnknown);
         CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::Unknown);
     }
@@ -317,7 +318,7 @@
     {
         up("a");
         ask("live", false);
-        m_core->agentDown(VmName("a"), m_now);
+        m_core->agentDisconnected(VmName("a"), m_now);
         pass(RouterTuning().recoveryWait + milliseconds(10));
         CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::OutcomeUnknown);
     }
@@ -327,9 +328,9 @@
         up("a", 1);
         ask();
         const RequestId waiting = ask();
-        m_core->agentDown(VmName("a"), m_now);
+        m_core->agentDisconnected(VmName("a"), m_now);
         pass(RouterTuning().upstreamWait + milliseconds(50));
-        const auto ends = told<AnswerEnd>();
+        const auto ends = told<AnswerResult>();
         CPPUNIT_ASSERT(!ends.empty());
         CPPUNIT_ASSERT(ends.front().kind == ErrorKind::NoUpstream);
         CPPUNIT_ASSERT(ends.front().outcome == Outcome::NotRun);
@@ -383,7 +384,7 @@
         CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::PredictedLate);
         CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::NotRun);
         ask("live"); // a class that delivers late is not refused
-        CPPUNIT_ASSERT(told<AnswerEnd>().empty());
+        CPPUNIT_ASSERT(told<AnswerResult>().empty());
     }
 
     void deadlineDropsWhatIsWorthless()
@@ -393,13 +394,13 @@
         hear("a", Chunk{running, 1, 0, 1, "x"});
         ask("brief");
         pass(seconds(11));
-        const auto ends = told<AnswerEnd>();
+        const auto ends = told<AnswerResult>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ends.size());
         CPPUNIT_ASSERT(ends[0].kind == ErrorKind::DeadlineRunning);
         CPPUNIT_ASSERT(ends[1].kind == ErrorKind::DeadlineQueued);
         CPPUNIT_ASSERT(ends[1].outcome == Outcome::NotRun);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Cancel>().size());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, m_counters.value(Count::TokensWasted));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, m_counters.value(Counter::TokensWasted));
     }
 
     /// Answers of 100 tokens at 80 ms take 8 of their 10 s: one that waited for 3 s cannot be
@@ -408,7 +409,7 @@
     {
         Welcome slow = welcome("a", 1);
         slow.load.tokenGapMicros = 80000;
-        m_core->agentUp(slow, m_now);
+        m_core->agentConnected(slow, m_now);
         const std::string text = "answer";
         for (unsigned n = 0; n < 20; ++n) {
             const RequestId id = ask("brief");
@@ -420,7 +421,7 @@
         pass(seconds(3));
         hear("a", endOf(running, 1, "", 0));
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
-        const auto ends = told<AnswerEnd>();
+        const auto ends = told<AnswerResult>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ends.size());
         CPPUNIT_ASSERT(ends[1].kind == ErrorKind::DeadlineQueued);
         CPPUNIT_ASSERT(ends[1].outcome == Outcome::NotRun);
@@ -431,7 +432,7 @@
         Welcome full = welcome("a", 2);
         full.load.running = 2;
         full.load.preemptible[1] = 1;
-        m_core->agentUp(full, m_now);
+        m_core->agentConnected(full, m_now);
         collect();
         ask("brief"); // the same tier takes nobody's place
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
@@ -446,7 +447,7 @@
     {
         up("a");
         const RequestId id = ask();
-        m_core->callerGone(id, m_now);
+        m_core->callerDisconnected(id, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Cancel>().size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_core->openRequests());
@@ -476,12 +477,12 @@
     void leavingAgentGetsNothing()
     {
         up("a");
-        m_core->membership(VmName("a"), true, m_now);
+        m_core->setAgentLeaving(VmName("a"), true, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Leaving>().size()); // the agent is told too
         ask();
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
-        m_core->membership(VmName("a"), false, m_now);
+        m_core->setAgentLeaving(VmName("a"), false, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Dispatch>().size());
     }
--- a/src/libreachlead/routing.cpp
+++ b/src/libreachlead/routing.cpp
@@ -51,7 +51,7 @@
     return it == m_topPriority.end() || route.priority <= it->second;
 }
 
-unsigned RouteTable::urgencyOf(const Route &route, const AccountKeys *account) const
+unsigned RouteTable::urgencyRank(const Route &route, const AccountKeys *account) const
 {
     const bool own = account != nullptr && account->priority.has_value();
     const unsigned within = std::min(own ? *account->priority : 0U, m_ranksPerPriority - 1);
@@ -69,7 +69,7 @@
     return route == it->second.end() ? nullptr : *route;
 }
 
-const AccountKeys *RouteTable::accountOf(const std::string &key) const
+const AccountKeys *RouteTable::accountForKey(const std::string &key) const
 {
     const auto it = m_byKey.find(key);
     return it == m_byKey.end() ? nullptr : it->second;
--- a/src/libreachlead/routing_test.cpp
+++ b/src/libreachlead/routing_test.cpp
@@ -56,11 +56,11 @@
     void keysLeadToAccounts()
     {
         const RouteTable table(config());
-        CPPUNIT_ASSERT_EQUAL(std::string("one"), table.accountOf("k2")->name.text);
-        CPPUNIT_ASSERT_EQUAL(3U, *table.accountOf("k2")->priority);
-        CPPUNIT_ASSERT(!table.accountOf("k3")->priority);
-        CPPUNIT_ASSERT(table.accountOf("") == nullptr);
-        CPPUNIT_ASSERT(table.accountOf("k4") == nullptr);
+        CPPUNIT_ASSERT_EQUAL(std::string("one"), table.accountForKey("k2")->name.text);
+        CPPUNIT_ASSERT_EQUAL(3U, *table.accountForKey("k2")->priority);
+        CPPUNIT_ASSERT(!table.accountForKey("k3")->priority);
+        CPPUNIT_ASSERT(table.accountForKey("") == nullptr);
+        CPPUNIT_ASSERT(table.accountForKey("k4") == nullptr);
     }
 
     /// An engine that runs out of memory puts back the newest of the least urgent: a call of an
@@ -74,10 +74,10 @@
         made.accounts[1].priority = 0U;
         const RouteTable table(made);
         const auto urgency = [&](unsigned route, const AccountKeys *account) {
-            return table.urgencyOf(table.config().routes[route], account);
+            return table.urgencyRank(table.config().routes[route], account);
         };
-        const AccountKeys *later = table.accountOf("k1");
-        const AccountKeys *first = table.accountOf("k3");
+        const AccountKeys *later = table.accountForKey("k1");
+        const AccountKeys *first = table.accountForKey("k3");
         for (unsigned route = 0; route < 3; ++route)
             CPPUNIT_ASSERT(urgency(route, first) < urgency(route, later));
         for (unsigned route = 0; route < 2; ++route)
--- a/src/libreachlead/routingdelta.cpp
+++ b/src/libreachlead/routingdelta.cpp
@@ -56,28 +56,28 @@
 
 } // namespace
 
-std::optional<RoutingDelta> differenceOf(const RoutingConfig &from, const RoutingConfig &to)
+std::optional<RoutingDelta> computeDelta(const RoutingConfig &from, const RoutingConfig &to)
 {
     RoutingDelta delta;
-    delta.from = from.version;
+    delta.baseVersion = from.version;
     delta.version = to.version;
     delta.limits = to.limits;
-    const bool good = compare(from.routes, to.routes, &delta.routes, &delta.routesGone)
-        && compare(from.services, to.services, &delta.services, &delta.servicesGone)
-        && compare(from.accounts, to.accounts, &delta.accounts, &delta.accountsGone);
+    const bool good = compare(from.routes, to.routes, &delta.routes, &delta.removedRoutes)
+        && compare(from.services, to.services, &delta.services, &delta.removedServices)
+        && compare(from.accounts, to.accounts, &delta.accounts, &delta.removedAccounts);
     return good ? std::optional(std::move(delta)) : std::nullopt;
 }
 
 std::optional<RoutingConfig> applied(const RoutingConfig &base, const RoutingDelta &delta)
 {
-    if (base.version != delta.from)
+    if (base.version != delta.baseVersion)
         return std::nullopt;
     RoutingConfig made;
     made.version = delta.version;
     made.limits = delta.limits;
-    made.routes = merged(base.routes, delta.routes, delta.routesGone);
-    made.services = merged(base.services, delta.services, delta.servicesGone);
-    made.accounts = merged(base.accounts, delta.accounts, delta.accountsGone);
+    made.routes = merged(base.routes, delta.routes, delta.removedRoutes);
+    made.services = merged(base.services, delta.services, delta.removedServices);
+    made.accounts = merged(base.accounts, delta.accounts, delta.removedAccounts);
     return made;
 }
 
--- a/src/libreachlead/routingdelta_test.cpp
+++ b/src/libreachlead/routingdelta_test.cpp
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT(rc::check("any two", [](const Values &before, const Values &after) {
             const RoutingConfig from = made(3, before);
             const RoutingConfig to = made(9, after);
-            const auto delta = differenceOf(from, to);
+            const auto delta = computeDelta(from, to);
             RC_ASSERT(delta.has_value());
             const auto result = applied(from, *delta);
             RC_ASSERT(result.has_value());
@@ -76,16 +76,16 @@
 
     void unchangedItemsAreNotTold()
     {
-        const auto delta = differenceOf(made(1, {1, 2, 3, 1}), made(2, {1, 2, 1, 0}));
+        const auto delta = computeDelta(made(1, {1, 2, 3, 1}), made(2, {1, 2, 1, 0}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, delta->routes.size());
         CPPUNIT_ASSERT_EQUAL(std::string("r2"), delta->routes[0].name);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, delta->accountsGone.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("r3"), delta->accountsGone[0].text);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, delta->removedAccounts.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("r3"), delta->removedAccounts[0].text);
     }
 
     void otherBaseIsRefused()
     {
-        const auto delta = differenceOf(made(1, {1}), made(2, {2}));
+        const auto delta = computeDelta(made(1, {1}), made(2, {2}));
         CPPUNIT_ASSERT(!applied(made(3, {1}), *delta));
     }
 
@@ -93,8 +93,8 @@
     {
         RoutingConfig twice = made(2, {1});
         twice.routes.push_back(twice.routes.front());
-        CPPUNIT_ASSERT(!differenceOf(made(1, {1}), twice));
-        CPPUNIT_ASSERT(!differenceOf(twice, made(3, {1})));
+        CPPUNIT_ASSERT(!computeDelta(made(1, {1}), twice));
+        CPPUNIT_ASSERT(!computeDelta(twice, made(3, {1})));
     }
 };
 
--- a/src/libreachlead/servicepace.cpp
+++ b/src/libreachlead/servicerate.cpp
@@ -1,13 +1,13 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/servicepace.h>
+#include <reachlead/servicerate.h>
 
 #include <algorithm>
 
 namespace reachlead {
 
-PaceSample &PaceSample::operator+=(const PaceSample &other)
+RateSample &RateSample::operator+=(const RateSample &other)
 {
     tokens += other.tokens;
     readMs += other.readMs;
@@ -16,7 +16,7 @@
     return *this;
 }
 
-void ServicePace::note(const PaceSample &sample)
+void ServiceRate::note(const RateSample &sample)
 {
     if (sample.readMs > 0) {
         const double part = std::min(1.0, sample.readMs / toMillis(readingMemory));
@@ -30,7 +30,7 @@
     }
 }
 
-Duration ServicePace::waitFor(TokenCount waiting, std::uint32_t running, unsigned slots,
+Duration ServiceRate::waitFor(TokenCount waiting, std::uint32_t running, unsigned slots,
                               TokenCount unread) const
 {
     double ms = static_cast<double>(waiting + unread) / std::max(m_tokensPerMs, 0.001);
--- a/src/libreachlead/settingstree.cpp
+++ b/src/libreachlead/settingstree.cpp
@@ -42,7 +42,7 @@
         .takeDuration("first_token", milliseconds(1), seconds(3600), &cls.firstTokenTarget)
         .takeDuration("inter_token", milliseconds(1), seconds(60), &cls.interTokenTarget)
         .takeDuration("deadline", milliseconds(1), seconds(86400), &cls.deadline)
-        .takeWord("late", {"deliver", "drop"}, &late)
+        .takeEnum("late", {"deliver", "drop"}, &late)
         .takeFlag("repeatable", &cls.repeatable)
         .takeNumber("floor", 0, mostFloors, &cls.floor)
         .takeNumber("weight", 0.001, 1000, &cls.weight)
@@ -121,8 +121,8 @@
 std::optional<std::string> readNode(const std::string &path, const std::string &text,
                                     Policies *policies)
 {
-    if (text.size() > largestNode)
-        return fmt::format("{}: {} bytes, expected at most {}", path, text.size(), largestNode);
+    if (text.size() > maxNodeBytes)
+        return fmt::format("{}: {} bytes, expected at most {}", path, text.size(), maxNodeBytes);
     if (path.starts_with(classesPrefix) && path.size() > classesPrefix.size())
         return readClass(path, text, policies);
     if (path.starts_with(accountsPrefix) && path.size() > accountsPrefix.size())
@@ -234,7 +234,7 @@
     return std::nullopt;
 }
 
-std::uint64_t digestOf(const PlatformObject &object)
+std::uint64_t computeDigest(const PlatformObject &object)
 {
     const auto version = static_cast<std::uint64_t>(object.version);
     return XXH64(object.key.data(), object.key.size(), version);
@@ -264,10 +264,10 @@
     if (it != m_objects.end()) {
         if (it->second.version >= object.version)
             return false;
-        m_digest ^= digestOf(it->second);
+        m_digest ^= computeDigest(it->second);
     }
     m_objects[object.key] = object;
-    m_digest ^= digestOf(object);
+    m_digest ^= computeDigest(object);
     m_version = std::max(m_version, object.version);
     return true;
 }
--- a/src/libreachlead/socketlimits.cpp
+++ b/src/libreachlead/sockettimeouts.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/socketlimits.h>
+#include <reachlead/sockettimeouts.h>
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -20,9 +20,9 @@
 
 } // namespace
 
-void limitSilence(asio::ip::tcp::socket &socket)
+void setSocketTimeouts(asio::ip::tcp::socket &socket)
 {
-    const auto unackedMs = static_cast<int>(toMillis(unackedLimit));
+    const auto unackedMs = static_cast<int>(toMillis(ackTimeout));
     boost::system::error_code ec; // an option that the kernel lacks only makes the search slower
     socket.set_option(asio::ip::tcp::no_delay(true), ec);
     socket.set_option(asio::socket_base::keep_alive(true), ec);
--- a/src/libreachlead/tieredqueue.cpp
+++ b/src/libreachlead/tieredqueue.cpp
@@ -221,7 +221,7 @@
         recharge(it->second, account, tokens);
 }
 
-std::size_t TieredQueue::ahead(Tier tier) const
+std::size_t TieredQueue::sizeAtOrAbove(Tier tier) const
 {
     return std::accumulate(m_classes.begin(), m_classes.end(), std::size_t{0},
                            [&](std::size_t sum, const auto &it) {
--- a/src/libreachlead/silentgateways.cpp
+++ b/src/libreachlead/unresponsivegateways.cpp
@@ -1,29 +1,30 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/silentgateways.h>
+#include <reachlead/unresponsivegateways.h>
 
 #include <algorithm>
 
 namespace reachlead {
 
-void SilentGateways::missed(const VmName &vm, Time now)
+void UnresponsiveGateways::recordFailure(const VmName &vm, Time now)
 {
     // Forgets those that nobody asked any more, so that the memory follows the gateways that live.
-    std::erase_if(m_silent, [&](const auto &it) { return it.second.until + longestPause < now; });
-    const auto [it, isNew] = m_silent.try_emplace(vm, Silence{now + firstPause, firstPause});
+    std::erase_if(m_silent, [&](const auto &it) { return it.second.until + maxBackoff < now; });
+    const auto [it, isNew] =
+        m_silent.try_emplace(vm, Silence{now + initialBackoff, initialBackoff});
     if (isNew || now < it->second.until)
         return; // questions that were under way together count as one
-    it->second.pause = std::min<Duration>(it->second.pause * 2, longestPause);
+    it->second.pause = std::min<Duration>(it->second.pause * 2, maxBackoff);
     it->second.until = now + it->second.pause;
 }
 
-bool SilentGateways::isAny(Time now) const
+bool UnresponsiveGateways::hasAny(Time now) const
 {
     return std::ranges::any_of(m_silent, [&](const auto &it) { return now < it.second.until; });
 }
 
-bool SilentGateways::isSilent(const VmName &vm, Time now) const
+bool UnresponsiveGateways::isUnresponsive(const VmName &vm, Time now) const
 {
     const auto it = m_silent.find(vm);
     return it != m_silent.end() && now < it->second.until;
--- a/src/libreachlead/upstreamdirectory.cpp
+++ b/src/libreachlead/upstreamdirectory.cpp
@@ -12,9 +12,9 @@
 
 namespace reachlead {
 
-UpstreamTagNumber tagOf(const UpstreamId &id)
+UpstreamHash upstreamHash(const UpstreamId &id)
 {
-    const std::uint64_t life = XXH64(&id.born, sizeof id.born, 0);
+    const std::uint64_t life = XXH64(&id.startedAt, sizeof id.startedAt, 0);
     return XXH32(id.text.data(), id.text.size(), static_cast<XXH32_hash_t>(life));
 }
 
@@ -28,7 +28,7 @@
 }
 
 void UpstreamDirectory::putAll(const std::vector<UpstreamEntry> &entries, Time now,
-                               const HeldUntil &held, Changed *changed)
+                               const HeldUntil &held, UsableChanges *changed)
 {
     std::set<std::string> listed;
     for (const UpstreamEntry &entry : entries) {
@@ -43,7 +43,7 @@
 }
 
 void UpstreamDirectory::putChanges(const std::vector<UpstreamChange> &changes, Time now,
-                                   const HeldUntil &held, Changed *changed)
+                                   const HeldUntil &held, UsableChanges *changed)
 {
     for (const UpstreamChange &change : changes) {
         if (change.removed)
@@ -53,10 +53,11 @@
     }
 }
 
-UpstreamDirectory::Changed UpstreamDirectory::replaceAll(const std::vector<UpstreamEntry> &entries,
-                                                         std::uint64_t revision, Time now)
+UpstreamDirectory::UsableChanges
+UpstreamDirectory::replaceAll(const std::vector<UpstreamEntry> &entries, std::uint64_t revision,
+                              Time now)
 {
-    Changed changed;
+    UsableChanges changed;
     if (revision < m_revision)
         return changed;
     jumpTo(revision);
@@ -65,10 +66,11 @@
     return changed;
 }
 
-UpstreamDirectory::Changed UpstreamDirectory::apply(const std::vector<UpstreamChange> &changes,
-                                                    std::uint64_t revision, Time now)
+UpstreamDirectory::UsableChanges
+UpstreamDirectory::applyChanges(const std::vector<UpstreamChange> &changes, std::uint64_t revision,
+                                Time now)
 {
-    Changed changed;
+    UsableChanges changed;
     if (revision < m_revision)
         return changed;
     m_revision = revision;
@@ -77,10 +79,10 @@
     return changed;
 }
 
-RegistryNews UpstreamDirectory::newsSince(std::uint64_t revision, Time now,
-                                          std::uint64_t digest) const
+RegistryUpdate UpstreamDirectory::updateSince(std::uint64_t revision, Time now,
+                                              std::uint64_t digest) const
 {
-    RegistryNews news;
+    RegistryUpdate news;
     news.revision = m_revision;
     if (m_revision <= revision)
         return news;
@@ -97,7 +99,7 @@
         news.changesFrom = revision;
         return news;
     }
-    news.all = registered();
+    news.snapshot = registered();
     return news;
 }
 
@@ -107,30 +109,32 @@
     for (const auto &[id, entry] : m_entries) {
         if (m_missing.contains(id))
             continue;
-        const std::uint64_t life = XXH64(&id.born, sizeof id.born, entry.revision);
+        const std::uint64_t life = XXH64(&id.startedAt, sizeof id.startedAt, entry.revision);
         digest ^= XXH64(id.text.data(), id.text.size(), life);
     }
     return digest;
 }
 
-UpstreamDirectory::Changed UpstreamDirectory::take(const RegistryNews &news, Time now)
+UpstreamDirectory::UsableChanges UpstreamDirectory::applyUpdate(const RegistryUpdate &news,
+                                                                Time now)
 {
-    Changed changed;
-    const bool fits = news.all || (m_revision > 0 && news.changesFrom <= m_revision);
+    UsableChanges changed;
+    const bool fits = news.snapshot || (m_revision > 0 && news.changesFrom <= m_revision);
     if (news.revision <= m_revision || !fits)
         return changed;
-    if (news.all)
+    if (news.snapshot)
         jumpTo(news.revision);
     m_revision = news.revision;
     HeldUntil held;
     for (const HeldUpstream &it : news.held) {
-        const Duration left = std::clamp<Duration>(milliseconds(it.leftMs), {}, returnGrace);
+        const Duration left =
+            std::clamp<Duration>(milliseconds(it.leftMs), {}, reregistrationGrace);
         held.emplace(it.entry.id, now + left);
-        if (news.all && !m_entries.contains(it.entry.id))
+        if (news.snapshot && !m_entries.contains(it.entry.id))
             put(it.entry, &changed); // taken for absent below, and so held
     }
-    if (news.all)
-        putAll(*news.all, now, held, &changed);
+    if (news.snapshot)
+        putAll(*news.snapshot, now, held, &changed);
     else
         putChanges(news.changes, now, held, &changed);
     return changed;
@@ -143,29 +147,29 @@
     return ids;
 }
 
-UpstreamDirectory::Changed UpstreamDirectory::setEvacuated(const ZoneSet &zones)
+UpstreamDirectory::UsableChanges UpstreamDirectory::setEvacuated(const ZoneSet &zones)
 {
-    Changed changed;
+    UsableChanges changed;
     const ZoneSet before = std::exchange(m_evacuated, zones);
     ++m_changes;
     for (const auto &[id, entry] : m_entries) {
         const bool was = before.contains(entry.zone);
         const bool is = zones.contains(entry.zone);
         if (was != is && !isLeaving(entry))
-            (is ? changed.left : changed.added).push_back(id);
+            (is ? changed.withdrawn : changed.added).push_back(id);
     }
     return changed;
 }
 
-UpstreamDirectory::Changed UpstreamDirectory::setLeaving(const UpstreamId &id, Time now)
+UpstreamDirectory::UsableChanges UpstreamDirectory::setLeaving(const UpstreamId &id, Time now)
 {
-    Changed changed;
+    UsableChanges changed;
     const UpstreamEntry *entry = find(id);
     const bool tookWork = entry != nullptr && takesWork(*entry);
     if (!m_leaving.add(id, now) || !tookWork)
         return changed;
     ++m_changes;
-    changed.left.push_back(id);
+    changed.withdrawn.push_back(id);
     return changed;
 }
 
@@ -181,23 +185,23 @@
     m_inContact = true;
     m_catchesUp = m_wasInContact;
     if (m_wasInContact)
-        m_graceUntil = now + returnGrace;
+        m_graceUntil = now + reregistrationGrace;
     m_wasInContact = true;
 }
 
-UpstreamDirectory::Changed UpstreamDirectory::expire(Time now)
+UpstreamDirectory::UsableChanges UpstreamDirectory::expire(Time now)
 {
-    Changed changed;
+    UsableChanges changed;
     for (auto it = m_missing.begin(); it != m_missing.end();) {
         if (it->second > now) {
             ++it;
             continue;
         }
         erase(it->first);
-        changed.left.push_back(it->first);
+        changed.withdrawn.push_back(it->first);
         it = m_missing.erase(it);
     }
-    m_leaving.forgetOld(now, [this](const UpstreamId &id) { return m_entries.contains(id); });
+    m_leaving.dropExpired(now, [this](const UpstreamId &id) { return m_entries.contains(id); });
     return changed;
 }
 
@@ -214,7 +218,7 @@
     m_usable.clear();
     m_byTag.clear();
     for (const UpstreamEntry &entry : m_entries | std::views::values) {
-        m_byTag[tagOf(entry.id)] = &entry;
+        m_byTag[upstreamHash(entry.id)] = &entry;
         if (takesWork(entry))
             m_usable[entry.service].push_back(&entry);
     }
@@ -222,7 +226,7 @@
 }
 
 const std::vector<const UpstreamEntry *> &
-UpstreamDirectory::usableOf(const ServiceName &service) const
+UpstreamDirectory::usableUpstreams(const ServiceName &service) const
 {
     static const std::vector<const UpstreamEntry *> none;
     buildIndex();
@@ -230,7 +234,7 @@
     return it == m_usable.end() ? none : it->second;
 }
 
-const UpstreamEntry *UpstreamDirectory::findTag(UpstreamTagNumber tag) const
+const UpstreamEntry *UpstreamDirectory::findByHash(UpstreamHash tag) const
 {
     buildIndex();
     const auto it = m_byTag.find(tag);
@@ -240,7 +244,7 @@
 void UpstreamDirectory::log(const UpstreamId &id)
 {
     m_log.push_back({m_revision, id});
-    if (m_log.size() <= mostLogged)
+    if (m_log.size() <= maxLoggedChanges)
         return;
     m_logFloor = m_log.front().revision;
     m_log.pop_front();
@@ -291,22 +295,22 @@
 }
 
 /// Makes room for a life that is newer than the known one, which is gone; false for an older life.
-bool UpstreamDirectory::supersedes(const UpstreamEntry &entry, Changed *changed)
+bool UpstreamDirectory::supersedes(const UpstreamEntry &entry, UsableChanges *changed)
 {
     const UpstreamEntry *known = lifeOf(entry.id.text);
     if (known == nullptr || known->id == entry.id)
         return true;
-    const bool bothTold = known->id.born > 0 && entry.id.born > 0;
-    if (bothTold ? entry.id.born < known->id.born : entry.revision < known->revision)
+    const bool bothTold = known->id.startedAt > 0 && entry.id.startedAt > 0;
+    if (bothTold ? entry.id.startedAt < known->id.startedAt : entry.revision < known->revision)
         return false;
     const UpstreamId gone = known->id;
     m_missing.erase(gone);
     erase(gone);
-    changed->left.push_back(gone);
+    changed->withdrawn.push_back(gone);
     return true;
 }
 
-void UpstreamDirectory::put(const UpstreamEntry &entry, Changed *changed)
+void UpstreamDirectory::put(const UpstreamEntry &entry, UsableChanges *changed)
 {
     if (!supersedes(entry, changed))
         return;
@@ -324,7 +328,7 @@
     if (fresh && !entry.leaving)
         changed->added.push_back(entry.id);
     if (entry.leaving && !wasLeaving)
-        changed->left.push_back(entry.id);
+        changed->withdrawn.push_back(entry.id);
 }
 
 /// How long an entry that the registry lacks is used, by this directory's own outage or by what
@@ -340,7 +344,7 @@
 }
 
 void UpstreamDirectory::remove(const UpstreamId &id, Time now, const HeldUntil &held,
-                               Changed *changed)
+                               UsableChanges *changed)
 {
     const UpstreamEntry *known = lifeOf(id.text);
     if (known == nullptr) {
@@ -356,7 +360,7 @@
         return;
     }
     erase(life);
-    changed->left.push_back(life);
+    changed->withdrawn.push_back(life);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/upstreamdirectory_fleet_test.cpp
+++ b/src/libreachlead/upstreamdirectory_fleet_test.cpp
@@ -73,7 +73,7 @@
                 const auto &[id, seen] = gone;
                 const Time from = std::max(seen.at, m_mended.at(n));
                 return it.revision() >= seen.revision && it.find(id) != nullptr
-                    && m_now >= from + UpstreamDirectory::returnGrace;
+                    && m_now >= from + UpstreamDirectory::reregistrationGrace;
             });
             if (isUsed)
                 return false;
@@ -162,24 +162,24 @@
             if (revision > it.revision())
                 changes.push_back(change);
         }
-        const auto changed = it.apply(changes, m_revision, m_now);
-        noteSeen(changed.left);
+        const auto changed = it.applyChanges(changes, m_revision, m_now);
+        noteSeen(changed.withdrawn);
     }
 
     void list(std::size_t who, std::size_t /*with*/, unsigned /*which*/)
     {
         UpstreamDirectory &it = m_directories.at(who);
         if (it.inContact())
-            noteSeen(it.replaceAll(registryNow(), m_revision, m_now).left);
+            noteSeen(it.replaceAll(registryNow(), m_revision, m_now).withdrawn);
     }
 
     void tell(std::size_t who, std::size_t with, unsigned /*which*/)
     {
         UpstreamDirectory &hearer = m_directories.at(who);
-        const RegistryNews news = m_directories.at(with).newsSince(hearer.revision(), m_now);
+        const RegistryUpdate news = m_directories.at(with).updateSince(hearer.revision(), m_now);
         if (!news.held.empty())
             m_mended.at(who) = std::max(m_mended.at(who), m_mended.at(with));
-        hearer.take(news, m_now);
+        hearer.applyUpdate(news, m_now);
     }
 
     void pass(std::size_t /*who*/, std::size_t /*with*/, unsigned which)
--- a/src/libreachlead/upstreamdirectory_lives_test.cpp
+++ b/src/libreachlead/upstreamdirectory_incarnations_test.cpp
@@ -9,8 +9,8 @@
 
 #include <rapidcheck.h>
 
-#include <reachlead/upstreambook.h>
 #include <reachlead/upstreamdirectory.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -52,14 +52,14 @@
     void nextLifeIsAnotherUpstream()
     {
         UpstreamDirectory directory = known();
-        const auto changed = directory.apply({{entry("a", 8, 11), false}}, 11, start);
-        CPPUNIT_ASSERT(changed.left == std::vector{UpstreamId("a", 7)});
+        const auto changed = directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
+        CPPUNIT_ASSERT(changed.withdrawn == std::vector{UpstreamId("a", 7)});
         CPPUNIT_ASSERT(changed.added == std::vector{UpstreamId("a", 8)});
         CPPUNIT_ASSERT(directory.find(UpstreamId("a", 7)) == nullptr);
         CPPUNIT_ASSERT(directory.find(UpstreamId("a", 8)) != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableOf(ServiceName("s")).size());
-        CPPUNIT_ASSERT(directory.findTag(tagOf(UpstreamId("a", 7))) == nullptr);
-        CPPUNIT_ASSERT(directory.findTag(tagOf(UpstreamId("a", 8))) != nullptr);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableUpstreams(ServiceName("s")).size());
+        CPPUNIT_ASSERT(directory.findByHash(upstreamHash(UpstreamId("a", 7))) == nullptr);
+        CPPUNIT_ASSERT(directory.findByHash(upstreamHash(UpstreamId("a", 8))) != nullptr);
     }
 
     /// Were it held, calls would go to the next life, which may be leaving.
@@ -69,18 +69,18 @@
         directory.lostContact();
         directory.regainedContact(start + seconds(5));
         directory.replaceAll({entry("a", 8, 12, true)}, 12, start + seconds(5));
-        CPPUNIT_ASSERT(directory.usableOf(ServiceName("s")).empty());
+        CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
         CPPUNIT_ASSERT(directory.missing().empty());
     }
 
     void lateWordOfAnEarlierLifeChangesNothing()
     {
         UpstreamDirectory directory = known();
-        directory.apply({{entry("a", 8, 11), false}}, 11, start);
-        const auto changed = directory.apply({{entry("a", 7, 12, true), false}}, 12, start);
-        CPPUNIT_ASSERT(changed.left.empty());
+        directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
+        const auto changed = directory.applyChanges({{entry("a", 7, 12, true), false}}, 12, start);
+        CPPUNIT_ASSERT(changed.withdrawn.empty());
         CPPUNIT_ASSERT(directory.find(UpstreamId("a", 8)) != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableOf(ServiceName("s")).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableUpstreams(ServiceName("s")).size());
     }
 
     void removalEndsWhicheverLifeIsKnown()
@@ -89,8 +89,8 @@
         UpstreamChange removal;
         removal.removed = true;
         removal.entry.id = UpstreamId("a");
-        const auto changed = directory.apply({removal}, 11, start);
-        CPPUNIT_ASSERT(changed.left == std::vector{UpstreamId("a", 7)});
+        const auto changed = directory.applyChanges({removal}, 11, start);
+        CPPUNIT_ASSERT(changed.withdrawn == std::vector{UpstreamId("a", 7)});
         CPPUNIT_ASSERT(directory.entries().empty());
     }
 
@@ -98,31 +98,31 @@
     {
         UpstreamDirectory directory = known();
         UpstreamDirectory other = known();
-        directory.apply({{entry("a", 8, 11), false}}, 11, start);
-        directory.apply({{entry("a", 9, 12), false}}, 12, start);
+        directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
+        directory.applyChanges({{entry("a", 9, 12), false}}, 12, start);
         const auto changes = directory.changesSince(10);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes->size());
-        const auto changed = other.take(directory.newsSince(10, start), start);
-        CPPUNIT_ASSERT(changed.left == std::vector{UpstreamId("a", 7)});
+        const auto changed = other.applyUpdate(directory.updateSince(10, start), start);
+        CPPUNIT_ASSERT(changed.withdrawn == std::vector{UpstreamId("a", 7)});
         CPPUNIT_ASSERT(other.find(UpstreamId("a", 9)) != nullptr);
     }
 
     void bookKnowsNothingOfTheNextLife()
     {
         UpstreamDirectory directory = known();
-        UpstreamBook book(ZoneName("z"), {});
-        book.absent(UpstreamId("a", 7), start);
-        ChoiceAsk ask{ServiceName("s"), "m", {}};
+        UpstreamTable book(ZoneName("z"), {});
+        book.connectionRefused(UpstreamId("a", 7), start);
+        SelectionQuery ask{ServiceName("s"), "m", {}};
         const std::vector<PromptPart> prompt{{1, 9000}, {2, 10}};
         ask.prompt = prompt;
-        const auto first = book.choose(ask, directory, start);
+        const auto first = book.select(ask, directory, start);
         book.sent(first->upstream, ask, *first, start);
-        directory.apply({{entry("a", 8, 11), false}}, 11, start);
-        book.keepOnly(directory);
-        const auto next = book.choose(ask, directory, start);
+        directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
+        book.removeUnlisted(directory);
+        const auto next = book.select(ask, directory, start);
         CPPUNIT_ASSERT(next->upstream == UpstreamId("a", 8));
-        CPPUNIT_ASSERT_EQUAL(TokenCount{9010}, next->unreadTokens);
-        CPPUNIT_ASSERT(book.loadOf(next->upstream, start) == UpstreamLoad{});
+        CPPUNIT_ASSERT_EQUAL(TokenCount{9010}, next->prefillTokens);
+        CPPUNIT_ASSERT(book.load(next->upstream, start) == UpstreamLoad{});
     }
 
     /// A registry that upstreams write to, also late words of earlier lives, and two directories of
@@ -148,13 +148,13 @@
                 const std::uint64_t said = kind == 1 && born > 1 ? born - 1 : born; // a late word
                 change.removed = kind == 2;
                 change.entry = entry(name, said, revision, kind == 3);
-                follower.apply({change}, revision, start);
+                follower.applyChanges({change}, revision, start);
                 if (step >= 128)
-                    hearer.take(follower.newsSince(hearer.revision(), start), start);
+                    hearer.applyUpdate(follower.updateSince(hearer.revision(), start), start);
                 for (const auto &[id, known] : follower.entries())
                     RC_ASSERT(id == known.id);
             }
-            hearer.take(follower.newsSince(hearer.revision(), start), start);
+            hearer.applyUpdate(follower.updateSince(hearer.revision(), start), start);
             RC_ASSERT(hearer.entries().size() == follower.entries().size());
             for (const auto &[id, known] : follower.entries()) {
                 const UpstreamEntry *heard = hearer.find(id);
--- a/src/libreachlead/upstreamdirectory_test.cpp
+++ b/src/libreachlead/upstreamdirectory_test.cpp
@@ -60,24 +60,25 @@
     {
         UpstreamDirectory directory = known();
         const auto changed =
-            directory.apply({removal("a"), {entry("b", 11, true), false}}, 11, start);
+            directory.applyChanges({removal("a"), {entry("b", 11, true), false}}, 11, start);
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
         CPPUNIT_ASSERT(directory.find(UpstreamId("b"))->leaving);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, changed.left.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, changed.withdrawn.size());
     }
 
     void usableUpstreamsAreFoundByService()
     {
         UpstreamDirectory directory = known();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, directory.usableOf(ServiceName("s")).size());
-        CPPUNIT_ASSERT(directory.usableOf(ServiceName("other")).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, directory.usableUpstreams(ServiceName("s")).size());
+        CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("other")).empty());
         UpstreamEntry other = entry("c", 11);
         other.service = ServiceName("other");
-        directory.apply({{other, false}, {entry("b", 11, true), false}}, 11, start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableOf(ServiceName("s")).size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableOf(ServiceName("other")).size());
-        directory.apply({removal("a")}, 12, start);
-        CPPUNIT_ASSERT(directory.usableOf(ServiceName("s")).empty());
+        directory.applyChanges({{other, false}, {entry("b", 11, true), false}}, 11, start);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableUpstreams(ServiceName("s")).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                             directory.usableUpstreams(ServiceName("other")).size());
+        directory.applyChanges({removal("a")}, 12, start);
+        CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
     }
 
     /// Two directories that hear the same, one of them now and then by the other's changes alone.
@@ -93,14 +94,14 @@
                 const UpstreamChange change = step % 3 == 0
                     ? removal(id)
                     : UpstreamChange{entry(id, revision, step % 3 == 1), false};
-                teller.apply({change}, revision, start);
+                teller.applyChanges({change}, revision, start);
                 if (step < 128)
                     continue;
                 const auto changes = teller.changesSince(hearer.revision());
                 RC_ASSERT(changes.has_value());
-                hearer.apply(*changes, teller.revision(), start);
+                hearer.applyChanges(*changes, teller.revision(), start);
             }
-            hearer.apply(*teller.changesSince(hearer.revision()), teller.revision(), start);
+            hearer.applyChanges(*teller.changesSince(hearer.revision()), teller.revision(), start);
             RC_ASSERT(hearer.entries().size() == teller.entries().size());
             for (const auto &[id, entry] : teller.entries()) {
                 const UpstreamEntry *heard = hearer.find(id);
@@ -116,8 +117,8 @@
         CPPUNIT_ASSERT(
             !directory.changesSince(9)); // the list at 10 says nothing of what was before
         CPPUNIT_ASSERT(directory.changesSince(10)->empty());
-        for (std::uint64_t n = 0; n <= UpstreamDirectory::mostLogged; ++n)
-            directory.apply({{entry("a", 11 + n), false}}, 11 + n, start);
+        for (std::uint64_t n = 0; n <= UpstreamDirectory::maxLoggedChanges; ++n)
+            directory.applyChanges({{entry("a", 11 + n), false}}, 11 + n, start);
         CPPUNIT_ASSERT(!directory.changesSince(10));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.changesSince(11)->size());
     }
@@ -125,7 +126,7 @@
     void olderListChangesNothing()
     {
         UpstreamDirectory directory = known();
-        directory.apply({removal("a")}, 12, start);
+        directory.applyChanges({removal("a")}, 12, start);
         directory.replaceAll({entry("a", 5), entry("b", 6)}, 11, start);
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, directory.revision());
@@ -134,7 +135,7 @@
     void olderPageDoesNotUndoAChange()
     {
         UpstreamDirectory directory = known();
-        directory.apply({{entry("a", 12, true), false}}, 12, start);
+        directory.applyChanges({{entry("a", 12, true), false}}, 12, start);
         directory.replaceAll({entry("a", 5), entry("b", 6)}, 12, start);
         CPPUNIT_ASSERT(directory.find(UpstreamId("a"))->leaving);
     }
@@ -144,10 +145,10 @@
         UpstreamDirectory directory = known();
         directory.lostContact();
         directory.regainedContact(start + seconds(9));
-        directory.apply({removal("a"), removal("b")}, 20, start + seconds(9));
+        directory.applyChanges({removal("a"), removal("b")}, 20, start + seconds(9));
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) != nullptr);
-        directory.apply({{entry("a", 21), false}}, 21, start + seconds(10));
-        directory.expire(start + seconds(9) + UpstreamDirectory::returnGrace);
+        directory.applyChanges({{entry("a", 21), false}}, 21, start + seconds(10));
+        directory.expire(start + seconds(9) + UpstreamDirectory::reregistrationGrace);
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) != nullptr);
     }
 
@@ -157,30 +158,30 @@
         directory.lostContact();
         directory.regainedContact(start + seconds(9));
         directory.replaceAll({entry("b", 6)}, 20, start + seconds(9));
-        const Time due = start + seconds(9) + UpstreamDirectory::returnGrace;
-        CPPUNIT_ASSERT(directory.expire(due - milliseconds(1)).left.empty());
+        const Time due = start + seconds(9) + UpstreamDirectory::reregistrationGrace;
+        CPPUNIT_ASSERT(directory.expire(due - milliseconds(1)).withdrawn.empty());
         const auto changed = directory.expire(due);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changed.left.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changed.withdrawn.size());
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
         // After the grace a removal takes effect at once again.
-        directory.apply({removal("b")}, 21, due);
+        directory.applyChanges({removal("b")}, 21, due);
         CPPUNIT_ASSERT(directory.entries().empty());
     }
 
     void leavingEntriesAreNotHeldBack()
     {
         UpstreamDirectory directory = known();
-        directory.apply({{entry("a", 11, true), false}}, 11, start);
+        directory.applyChanges({{entry("a", 11, true), false}}, 11, start);
         directory.lostContact();
         directory.regainedContact(start + seconds(9));
-        directory.apply({removal("a")}, 20, start + seconds(9));
+        directory.applyChanges({removal("a")}, 20, start + seconds(9));
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
     }
 
     void firstContactHoldsNothingBack()
     {
         UpstreamDirectory directory = known();
-        directory.apply({removal("a")}, 11, start + milliseconds(1));
+        directory.applyChanges({removal("a")}, 11, start + milliseconds(1));
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
     }
 
@@ -190,7 +191,7 @@
         UpstreamDirectory made = known();
         made.lostContact();
         made.regainedContact(regained);
-        made.apply({removal("a")}, 20, regained);
+        made.applyChanges({removal("a")}, 20, regained);
         return made;
     }
 
@@ -202,21 +203,22 @@
         teller.replaceAll({entry("a", 5), entry("b", 6)}, 30, start);
         UpstreamDirectory hearer;
         hearer.replaceAll({entry("a", 5), entry("b", 6)}, 20, start);
-        const RegistryNews same = teller.newsSince(20, start, hearer.digest());
-        CPPUNIT_ASSERT(!same.all && same.changes.empty());
-        hearer.take(same, start);
+        const RegistryUpdate same = teller.updateSince(20, start, hearer.digest());
+        CPPUNIT_ASSERT(!same.snapshot && same.changes.empty());
+        hearer.applyUpdate(same, start);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{30}, hearer.revision());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hearer.entries().size());
         UpstreamDirectory other;
         other.replaceAll({entry("a", 5), entry("b", 7)}, 20, start);
-        CPPUNIT_ASSERT(teller.newsSince(20, start, other.digest()).all.has_value());
+        CPPUNIT_ASSERT(teller.updateSince(20, start, other.digest()).snapshot.has_value());
         UpstreamDirectory fewer;
         fewer.replaceAll({entry("a", 5)}, 20, start);
-        CPPUNIT_ASSERT(teller.newsSince(20, start, fewer.digest()).all.has_value());
+        CPPUNIT_ASSERT(teller.updateSince(20, start, fewer.digest()).snapshot.has_value());
         // One that knows nothing lacks the registry, also where that has no entries.
         UpstreamDirectory empty;
         empty.replaceAll({}, 30, start);
-        CPPUNIT_ASSERT(empty.newsSince(0, start, UpstreamDirectory().digest()).all.has_value());
+        CPPUNIT_ASSERT(
+            empty.updateSince(0, start, UpstreamDirectory().digest()).snapshot.has_value());
     }
 
     void heldEntriesAreToldApart()
@@ -225,14 +227,14 @@
         const UpstreamDirectory teller = holding(regained);
         const Time later = regained + milliseconds(500);
         for (const std::uint64_t revision : {std::uint64_t{10}, std::uint64_t{3}}) {
-            const RegistryNews news = teller.newsSince(revision, later);
+            const RegistryUpdate news = teller.updateSince(revision, later);
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.held.size());
             CPPUNIT_ASSERT_EQUAL(std::int32_t{1500}, news.held.front().leftMs);
             UpstreamDirectory hearer = revision == 3 ? UpstreamDirectory() : known();
-            hearer.take(news, later);
+            hearer.applyUpdate(news, later);
             CPPUNIT_ASSERT(hearer.find(UpstreamId("a")) != nullptr);
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.registered().size());
-            CPPUNIT_ASSERT(hearer.expire(later + milliseconds(1499)).left.empty());
+            CPPUNIT_ASSERT(hearer.expire(later + milliseconds(1499)).withdrawn.empty());
             hearer.expire(later + milliseconds(1500));
             CPPUNIT_ASSERT(hearer.find(UpstreamId("a")) == nullptr);
             CPPUNIT_ASSERT(hearer.find(UpstreamId("b")) != nullptr);
@@ -244,16 +246,16 @@
     void heldEntryOfAnotherIsNotTakenWithChanges()
     {
         const Time regained = start + seconds(9);
-        const RegistryNews news = holding(regained).newsSince(10, regained);
+        const RegistryUpdate news = holding(regained).updateSince(10, regained);
         UpstreamDirectory without;
         without.regainedContact(start);
         without.replaceAll({entry("b", 6)}, 10, start);
-        without.take(news, regained);
+        without.applyUpdate(news, regained);
         CPPUNIT_ASSERT(without.find(UpstreamId("a")) == nullptr);
         CPPUNIT_ASSERT(without.missing().empty());
         UpstreamDirectory leaves = known();
-        leaves.apply({{entry("a", 11, true), false}}, 11, start);
-        leaves.take(news, regained);
+        leaves.applyChanges({{entry("a", 11, true), false}}, 11, start);
+        leaves.applyUpdate(news, regained);
         CPPUNIT_ASSERT(leaves.find(UpstreamId("a")) == nullptr);
     }
 
@@ -262,9 +264,9 @@
         UpstreamDirectory directory = known();
         directory.lostContact();
         directory.regainedContact(start + seconds(9));
-        directory.apply({}, 12, start + seconds(9)); // nothing was missed
-        const auto changed = directory.apply({removal("a")}, 13, start + milliseconds(9400));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changed.left.size());
+        directory.applyChanges({}, 12, start + seconds(9)); // nothing was missed
+        const auto changed = directory.applyChanges({removal("a")}, 13, start + milliseconds(9400));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changed.withdrawn.size());
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
     }
 
@@ -277,13 +279,13 @@
         UpstreamDirectory hearer = known();
         teller.lostContact();
         teller.regainedContact(regained);
-        teller.apply({removal("a")}, 39, regained);
-        teller.apply({{entry("c", 40), false}}, 40, regained + milliseconds(100));
-        hearer.take(teller.newsSince(10, regained + milliseconds(200)),
-                    regained + milliseconds(200));
+        teller.applyChanges({removal("a")}, 39, regained);
+        teller.applyChanges({{entry("c", 40), false}}, 40, regained + milliseconds(100));
+        hearer.applyUpdate(teller.updateSince(10, regained + milliseconds(200)),
+                           regained + milliseconds(200));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, hearer.revision());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hearer.registered().size());
-        hearer.expire(regained + UpstreamDirectory::returnGrace);
+        hearer.expire(regained + UpstreamDirectory::reregistrationGrace);
         CPPUNIT_ASSERT(hearer.find(UpstreamId("a")) == nullptr);
     }
 
@@ -295,10 +297,10 @@
         for (int hop = 0; hop < 10; ++hop) {
             now += milliseconds(150);
             UpstreamDirectory hearer = known();
-            hearer.take(teller.newsSince(10, now), now);
+            hearer.applyUpdate(teller.updateSince(10, now), now);
             teller = std::move(hearer);
         }
-        teller.expire(regained + UpstreamDirectory::returnGrace);
+        teller.expire(regained + UpstreamDirectory::reregistrationGrace);
         CPPUNIT_ASSERT(teller.find(UpstreamId("a")) == nullptr);
     }
 
@@ -307,9 +309,9 @@
     {
         UpstreamDirectory teller = known();
         UpstreamDirectory hearer = known();
-        hearer.apply({{entry("c", 11), false}}, 11, start);
+        hearer.applyChanges({{entry("c", 11), false}}, 11, start);
         teller.replaceAll({entry("a", 5), entry("b", 6)}, 12, start);
-        hearer.take(teller.newsSince(11, start), start);
+        hearer.applyUpdate(teller.updateSince(11, start), start);
         CPPUNIT_ASSERT(hearer.find(UpstreamId("c")) == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hearer.entries().size());
     }
@@ -320,11 +322,11 @@
         UpstreamDirectory first = known();
         UpstreamDirectory second = known();
         UpstreamDirectory third = known();
-        first.apply({{entry("c", 11), false}}, 11, start);
-        third.take(first.newsSince(10, start), start);
-        first.apply({removal("c")}, 12, start);
-        second.take(first.newsSince(10, start), start);
-        third.take(second.newsSince(11, start), start);
+        first.applyChanges({{entry("c", 11), false}}, 11, start);
+        third.applyUpdate(first.updateSince(10, start), start);
+        first.applyChanges({removal("c")}, 12, start);
+        second.applyUpdate(first.updateSince(10, start), start);
+        third.applyUpdate(second.updateSince(11, start), start);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, third.revision());
         CPPUNIT_ASSERT(third.find(UpstreamId("c")) == nullptr);
     }
--- a/src/libreachlead/upstreamlimits.cpp
+++ b/src/libreachlead/upstreamlimits.cpp
@@ -16,10 +16,10 @@
     known->at = now;
 }
 
-bool UpstreamLimits::heard(const UpstreamId &id, std::optional<CallRate> limit, Time now,
-                           UnixMillis stamp)
+bool UpstreamLimits::recordAnswer(const UpstreamId &id, std::optional<CallRate> limit, Time now,
+                                  UnixMillis stamp)
 {
-    const std::optional<CallRate> before = of(id, now);
+    const std::optional<CallRate> before = currentLimit(id, now);
     const auto it = m_heard.find(id);
     if (it == m_heard.end()) {
         if (limit)
@@ -33,17 +33,17 @@
     return limit != before;
 }
 
-bool UpstreamLimits::told(const LimitNote &note, Time now)
+bool UpstreamLimits::applyUpdate(const LimitUpdate &note, Time now)
 {
-    const std::optional<CallRate> before = of(note.upstream, now);
+    const std::optional<CallRate> before = currentLimit(note.upstream, now);
     const auto [it, isNew] =
-        m_heard.try_emplace(note.upstream, Heard{note.limit, note.stamp, now, now});
-    if (!isNew && note.stamp > it->second.stamp)
-        take(&it->second, note.limit, now, note.stamp);
-    return of(note.upstream, now) != before;
+        m_heard.try_emplace(note.upstream, Heard{note.limit, note.timestamp, now, now});
+    if (!isNew && note.timestamp > it->second.stamp)
+        take(&it->second, note.limit, now, note.timestamp);
+    return currentLimit(note.upstream, now) != before;
 }
 
-std::optional<CallRate> UpstreamLimits::of(const UpstreamId &id, Time now) const
+std::optional<CallRate> UpstreamLimits::currentLimit(const UpstreamId &id, Time now) const
 {
     const auto it = m_heard.find(id);
     if (it == m_heard.end() || it->second.at + forgetAfter <= now)
@@ -51,9 +51,9 @@
     return it->second.limit;
 }
 
-std::vector<LimitNote> UpstreamLimits::recent(Time now) const
+std::vector<LimitUpdate> UpstreamLimits::recent(Time now) const
 {
-    std::vector<LimitNote> notes;
+    std::vector<LimitUpdate> notes;
     for (const auto &[id, known] : m_heard) {
         if (known.at + tellSpan > now)
             notes.push_back({id, known.limit, known.stamp});
@@ -61,7 +61,7 @@
     return notes;
 }
 
-void UpstreamLimits::forgetOld(Time now)
+void UpstreamLimits::dropExpired(Time now)
 {
     std::erase_if(m_heard, [&](const auto &it) { return it.second.at + forgetAfter <= now; });
 }
--- a/src/libreachlead/upstreamlimits_test.cpp
+++ b/src/libreachlead/upstreamlimits_test.cpp
@@ -31,7 +31,7 @@
     static bool heard(UpstreamLimits *limits, const UpstreamId &id, std::optional<CallRate> limit,
                       Time now)
     {
-        return limits->heard(id, limit, now, stampOf(now));
+        return limits->recordAnswer(id, limit, now, stampOf(now));
     }
     static UnixMillis stampOf(Time at)
     {
@@ -46,16 +46,16 @@
         CPPUNIT_ASSERT(heard(&limits, id, two, start));
         CPPUNIT_ASSERT(!heard(&limits, id, two, start + seconds(1)));
         CPPUNIT_ASSERT(heard(&limits, id, three, start + seconds(2)));
-        CPPUNIT_ASSERT(limits.of(id, start + seconds(2)) == three);
+        CPPUNIT_ASSERT(limits.currentLimit(id, start + seconds(2)) == three);
         CPPUNIT_ASSERT(heard(&limits, id, std::nullopt, start + seconds(3)));
-        CPPUNIT_ASSERT(!limits.of(id, start + seconds(3)));
+        CPPUNIT_ASSERT(!limits.currentLimit(id, start + seconds(3)));
     }
 
     void limitEndsWithTheLife()
     {
         UpstreamLimits limits;
         heard(&limits, UpstreamId("u", 1), two, start);
-        CPPUNIT_ASSERT(!limits.of(UpstreamId("u", 2), start));
+        CPPUNIT_ASSERT(!limits.currentLimit(UpstreamId("u", 2), start));
     }
 
     void limitThatNobodyHearsIsForgotten()
@@ -65,9 +65,9 @@
         heard(&limits, id, two, start);
         heard(&limits, id, two, start + seconds(1));
         const Time last = start + seconds(1) + UpstreamLimits::forgetAfter;
-        CPPUNIT_ASSERT(limits.of(id, last - milliseconds(1)));
-        CPPUNIT_ASSERT(!limits.of(id, last));
-        limits.forgetOld(last);
+        CPPUNIT_ASSERT(limits.currentLimit(id, last - milliseconds(1)));
+        CPPUNIT_ASSERT(!limits.currentLimit(id, last));
+        limits.dropExpired(last);
         CPPUNIT_ASSERT(heard(&limits, id, two, last));
     }
 
@@ -76,14 +76,14 @@
         UpstreamLimits limits;
         const UpstreamId id("u");
         heard(&limits, id, two, start);
-        const LimitNote late = limits.recent(start).at(0);
+        const LimitUpdate late = limits.recent(start).at(0);
         heard(&limits, id, std::nullopt, start + seconds(5));
-        const LimitNote end = limits.recent(start + seconds(5)).at(0);
+        const LimitUpdate end = limits.recent(start + seconds(5)).at(0);
         UpstreamLimits another; // hears of the end first
-        another.told(end, start + seconds(5));
+        another.applyUpdate(end, start + seconds(5));
         for (Duration after = seconds(6); after < UpstreamLimits::tellSpan; after += seconds(1)) {
-            CPPUNIT_ASSERT(!limits.told(late, start + after));
-            CPPUNIT_ASSERT(!another.told(late, start + after));
+            CPPUNIT_ASSERT(!limits.applyUpdate(late, start + after));
+            CPPUNIT_ASSERT(!another.applyUpdate(late, start + after));
         }
     }
 
@@ -98,9 +98,9 @@
         for (int n = 0; n < 5; ++n) {
             const Time now = start + n * seconds(1);
             heard(&behind, id, std::nullopt, now);
-            ahead.told(behind.recent(now).at(0), now + seconds(2));
+            ahead.applyUpdate(behind.recent(now).at(0), now + seconds(2));
         }
-        CPPUNIT_ASSERT(!ahead.of(id, start + seconds(7)));
+        CPPUNIT_ASSERT(!ahead.currentLimit(id, start + seconds(7)));
     }
 
     /// Each gateway tells five others twice a second, and each word is up to 0.4 s under way. One
@@ -117,25 +117,25 @@
             for (const Time end = now + span; now < end; now += milliseconds(500)) {
                 const std::size_t hearer = random() % (gateways / 100);
                 const auto skew = static_cast<UnixMillis>(20 * hearer);
-                fleet[hearer].heard(id, limit, now, stampOf(now) + skew);
+                fleet[hearer].recordAnswer(id, limit, now, stampOf(now) + skew);
                 for (const UpstreamLimits &teller : fleet) {
-                    for (const LimitNote &note : teller.recent(now)) {
+                    for (const LimitUpdate &note : teller.recent(now)) {
                         for (std::size_t n = 0; n < targets; ++n) {
                             const Time arrival = now + milliseconds(random() % 400);
-                            fleet[random() % gateways].told(note, arrival);
+                            fleet[random() % gateways].applyUpdate(note, arrival);
                         }
                     }
                 }
             }
             return std::ranges::count_if(
-                fleet, [&](const UpstreamLimits &it) { return it.of(id, now) == limit; });
+                fleet, [&](const UpstreamLimits &it) { return it.currentLimit(id, now) == limit; });
         };
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{gateways}, run(two, seconds(5)));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{gateways}, run(three, seconds(5)));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{gateways}, run(std::nullopt, seconds(5)));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{gateways}, run(std::nullopt, seconds(70)));
         for (UpstreamLimits &it : fleet) {
-            it.forgetOld(now);
+            it.dropExpired(now);
             CPPUNIT_ASSERT(it.isEmpty());
         }
     }
