--- a/src/libreachlead/upstreambook.cpp
+++ b/src/libreachlead/upstreamtable.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 #include <algorithm>
 #include <iterator>
@@ -30,42 +30,43 @@
 
 } // namespace
 
-Circuit::Settings UpstreamBook::circuitSettings()
+Circuit::Settings UpstreamTable::circuitSettings()
 {
     Circuit::Settings settings;
-    settings.firstPause = milliseconds(500); // a crashed upstream is back after seconds at best
-    settings.longestPause = seconds(4); // a recovery must be noticed within a few seconds
+    settings.initialOpenDuration =
+        milliseconds(500); // a crashed upstream is back after seconds at best
+    settings.maxOpenDuration = seconds(4); // a recovery must be noticed within a few seconds
     return settings;
 }
 
-void UpstreamBook::keepOnly(const UpstreamDirectory &directory)
+void UpstreamTable::removeUnlisted(const UpstreamDirectory &directory)
 {
     std::erase_if(m_records, [&](const auto &record) {
         return directory.find(record.first) == nullptr && record.second.load.running == 0;
     });
 }
 
-void UpstreamBook::addPeerLoad(const UpstreamId &id, const UpstreamLoad &load)
+void UpstreamTable::addPeerLoad(const UpstreamId &id, const UpstreamLoad &load)
 {
     UpstreamLoad &total = m_peerTotals[id];
     total.running += load.running;
-    total.unreadTokens += load.unreadTokens;
-    total.brief += load.brief;
+    total.prefillTokens += load.prefillTokens;
+    total.shortPrompts += load.shortPrompts;
 }
 
-void UpstreamBook::takeOffPeerLoad(const UpstreamId &id, const UpstreamLoad &load)
+void UpstreamTable::takeOffPeerLoad(const UpstreamId &id, const UpstreamLoad &load)
 {
     const auto it = m_peerTotals.find(id);
     if (it == m_peerTotals.end())
         return;
     takeOff(&it->second.running, load.running);
-    takeOff(&it->second.unreadTokens, load.unreadTokens);
-    takeOff(&it->second.brief, load.brief);
+    takeOff(&it->second.prefillTokens, load.prefillTokens);
+    takeOff(&it->second.shortPrompts, load.shortPrompts);
     if (it->second.running == 0)
         m_peerTotals.erase(it);
 }
 
-void UpstreamBook::replacePeerLoad(PeerLoad *peer, LoadByUpstream load)
+void UpstreamTable::replacePeerLoad(PeerLoad *peer, LoadByUpstream load)
 {
     for (const auto &[id, at] : peer->load)
         takeOffPeerLoad(id, at);
@@ -74,55 +75,57 @@
         addPeerLoad(id, at);
 }
 
-/// Forgets what was granted to questions before \p openFrom, and what is older than grantLimit.
-void UpstreamBook::dropGrants(PeerLoad *peer, AskNumber openFrom, Time now)
+/// Forgets what was granted to questions before \p oldestPendingQuery, and what is older than
+/// grantLimit.
+void UpstreamTable::dropGrants(PeerLoad *peer, QueryId oldestPendingQuery, Time now)
 {
     std::erase_if(peer->grants, [&](const Grant &grant) {
-        const bool isOver = grant.number < openFrom || grant.at + grantLimit < now;
+        const bool isOver = grant.number < oldestPendingQuery || grant.at + grantLimit < now;
         if (isOver)
             takeOffPeerLoad(grant.upstream, grant.load);
         return isOver;
     });
 }
 
-void UpstreamBook::dropOldPeers(Time now)
+void UpstreamTable::dropOldPeers(Time now)
 {
     const auto isOld = [&](const PeerLoad &peer) { return peer.validUntil < now; };
     for (PeerLoad &peer : m_peers | std::views::values | std::views::filter(isOld)) {
         replacePeerLoad(&peer, {});
-        dropGrants(&peer, std::numeric_limits<AskNumber>::max(), now);
+        dropGrants(&peer, std::numeric_limits<QueryId>::max(), now);
     }
     std::erase_if(m_peers, [&](const auto &peer) { return isOld(peer.second); });
 }
 
-UpstreamLoad UpstreamBook::loadOf(const UpstreamId &id, Time now)
+UpstreamLoad UpstreamTable::load(const UpstreamId &id, Time now)
 {
     dropOldPeers(now);
     return knownLoad(id);
 }
 
-/// As loadOf(), once old loads were dropped: that takes a look at each peer.
-UpstreamLoad UpstreamBook::knownLoad(const UpstreamId &id) const
+/// As load(), once old loads were dropped: that takes a look at each peer.
+UpstreamLoad UpstreamTable::knownLoad(const UpstreamId &id) const
 {
     UpstreamLoad total;
     if (const auto it = m_records.find(id); it != m_records.end())
         total = it->second.load;
     if (const auto it = m_peerTotals.find(id); it != m_peerTotals.end()) {
         total.running += it->second.running;
-        total.unreadTokens += it->second.unreadTokens;
-        total.brief += it->second.brief;
+        total.prefillTokens += it->second.prefillTokens;
+        total.shortPrompts += it->second.shortPrompts;
     }
     return total;
 }
 
-void UpstreamBook::sent(const UpstreamId &id, const ChoiceAsk &ask, const Choice &choice, Time now)
+void UpstreamTable::sent(const UpstreamId &id, const SelectionQuery &ask, const Selection &choice,
+                         Time now)
 {
     Record &record = m_records[id];
     record.lastTurn = ++m_turns;
     ++record.load.running;
-    record.load.unreadTokens += choice.unreadTokens;
-    record.load.brief += choice.isBrief ? 1 : 0;
-    m_untold += choice.unreadTokens;
+    record.load.prefillTokens += choice.prefillTokens;
+    record.load.shortPrompts += choice.isShortPrompt ? 1 : 0;
+    m_untold += choice.prefillTokens;
     noteParts(&record, ask, choice, now, true);
     record.circuit.sent();
     record.cold.sent(now, choice.coldSpacing);
@@ -130,27 +133,28 @@
 }
 
 /// Takes the parts of a prompt for cached; \p isTold: other gateways are to hear of the new ones.
-void UpstreamBook::noteParts(Record *record, const ChoiceAsk &ask, const Choice &choice, Time now,
-                             bool isTold)
+void UpstreamTable::noteParts(Record *record, const SelectionQuery &ask, const Selection &choice,
+                              Time now, bool isTold)
 {
-    const Time readyAt = now + readTime(ask.service, choice.aheadTokens);
+    const Time readyAt = now + readTime(ask.service, choice.tokensToFirstEvent);
     const Placement placement = placementOf(ask);
     for (const KeyedPart &part : placement.shared()) {
-        if (record->cache.note(part.key, readyAt) && isTold)
+        if (record->cache.insert(part.key, readyAt) && isTold)
             m_fresh.push_back({{choice.upstream, part.key}, now});
     }
     if (!placement.parts.empty())
-        record->cache.note(placement.parts.back().key, readyAt);
+        record->cache.insert(placement.parts.back().key, readyAt);
 }
 
 /// The time until an engine has read this much, what is in front included.
-Duration UpstreamBook::readTime(const ServiceName &service, TokenCount ahead)
+Duration UpstreamTable::readTime(const ServiceName &service, TokenCount ahead)
 {
-    return paceOf(service).waitFor(ahead, 0, 0, 0);
+    return serviceRate(service).waitFor(ahead, 0, 0, 0);
 }
 
-void UpstreamBook::granted(const VmName &peer, AskNumber number, const ChoiceAsk &ask,
-                           const Choice &choice, Time now)
+void UpstreamTable::addPendingPlacement(const VmName &peer, QueryId number,
+                                        const SelectionQuery &ask, const Selection &choice,
+                                        Time now)
 {
     if (!m_costs.usesPeerLoads)
         return;
@@ -161,104 +165,104 @@
     record.cold.sent(now, choice.coldSpacing);
     record.limit.sent(now);
     PeerLoad &known = m_peers[peer];
-    known.validUntil = std::max(known.validUntil, now + peerLoadAge);
-    const UpstreamLoad load{1, choice.unreadTokens, choice.isBrief ? 1U : 0U};
+    known.validUntil = std::max(known.validUntil, now + peerLoadLifetime);
+    const UpstreamLoad load{1, choice.prefillTokens, choice.isShortPrompt ? 1U : 0U};
     known.grants.push_back({number, choice.upstream, load, now});
     addPeerLoad(choice.upstream, load);
 }
 
-const ServicePace &UpstreamBook::paceOf(const ServiceName &service)
+const ServiceRate &UpstreamTable::serviceRate(const ServiceName &service)
 {
     return m_paces.try_emplace(service, m_costs.tokensPerMs).first->second;
 }
 
-void UpstreamBook::learnPace(const ServiceName &service, const PaceSample &sample)
+void UpstreamTable::addRateSample(const ServiceName &service, const RateSample &sample)
 {
     m_paces.try_emplace(service, m_costs.tokensPerMs).first->second.note(sample);
 }
 
-void UpstreamBook::noteRead(const ServiceName &service, TokenCount ahead, Duration span)
+void UpstreamTable::recordPrefill(const ServiceName &service, TokenCount ahead, Duration span)
 {
-    if (ahead < ServicePace::leastTokens)
+    if (ahead < ServiceRate::leastTokens)
         return;
-    const PaceSample sample{ahead, static_cast<std::uint32_t>(toMillis(span)), 0, 0};
-    learnPace(service, sample);
+    const RateSample sample{ahead, static_cast<std::uint32_t>(toMillis(span)), 0, 0};
+    addRateSample(service, sample);
     m_newPace[service] += sample;
 }
 
-void UpstreamBook::noteHeld(const ServiceName &service, Duration span)
+void UpstreamTable::recordCallDuration(const ServiceName &service, Duration span)
 {
-    const PaceSample sample{0, 0, 1, static_cast<std::uint32_t>(toMillis(span))};
-    learnPace(service, sample);
+    const RateSample sample{0, 0, 1, static_cast<std::uint32_t>(toMillis(span))};
+    addRateSample(service, sample);
     m_newPace[service] += sample;
 }
 
-PaceSample UpstreamBook::takePace(const ServiceName &service)
+RateSample UpstreamTable::takeRateSample(const ServiceName &service)
 {
-    return std::exchange(m_newPace[service], PaceSample());
+    return std::exchange(m_newPace[service], RateSample());
 }
 
-std::vector<PromptNote> UpstreamBook::freshNotes(Time now, Duration span)
+std::vector<PromptHint> UpstreamTable::recentHints(Time now, Duration span)
 {
-    while (!m_fresh.empty() && (m_fresh.front().at + span < now || m_fresh.size() > mostNotes))
+    while (!m_fresh.empty() && (m_fresh.front().at + span < now || m_fresh.size() > maxHints))
         m_fresh.pop_front();
-    std::vector<PromptNote> notes;
+    std::vector<PromptHint> notes;
     std::ranges::transform(m_fresh, std::back_inserter(notes), &FreshNote::note);
     return notes;
 }
 
-void UpstreamBook::learn(const std::vector<PromptNote> &notes, Time now)
+void UpstreamTable::addHints(const std::vector<PromptHint> &notes, Time now)
 {
-    if (!m_costs.usesNotes)
+    if (!m_costs.usesPromptHints)
         return;
-    for (const PromptNote &note : notes) {
+    for (const PromptHint &note : notes) {
         if (const auto it = m_records.find(note.upstream); it != m_records.end())
-            it->second.cache.note(note.key, now + toldReadTime);
+            it->second.cache.insert(note.key, now + toldReadTime);
     }
 }
 
-void UpstreamBook::firstEvent(const UpstreamId &id, TokenCount unread)
+void UpstreamTable::firstEvent(const UpstreamId &id, TokenCount unread)
 {
     if (const auto it = m_records.find(id); it != m_records.end())
-        takeOff(&it->second.load.unreadTokens, unread);
+        takeOff(&it->second.load.prefillTokens, unread);
 }
 
-void UpstreamBook::ended(const UpstreamId &id, TokenCount unread, bool isBrief)
+void UpstreamTable::ended(const UpstreamId &id, TokenCount unread, bool isShortPrompt)
 {
     const auto it = m_records.find(id);
     if (it == m_records.end())
         return;
-    takeOff(&it->second.load.unreadTokens, unread);
+    takeOff(&it->second.load.prefillTokens, unread);
     takeOff(&it->second.load.running, std::uint32_t{1});
-    takeOff(&it->second.load.brief, std::uint32_t{isBrief ? 1U : 0U});
+    takeOff(&it->second.load.shortPrompts, std::uint32_t{isShortPrompt ? 1U : 0U});
     it->second.circuit.abandoned();
 }
 
-void UpstreamBook::succeeded(const UpstreamId &id)
+void UpstreamTable::succeeded(const UpstreamId &id)
 {
     if (const auto it = m_records.find(id); it != m_records.end())
         it->second.circuit.succeeded();
 }
 
-void UpstreamBook::failed(const UpstreamId &id, Time now)
+void UpstreamTable::failed(const UpstreamId &id, Time now)
 {
     if (const auto it = m_records.find(id); it != m_records.end())
         it->second.circuit.failed(now);
 }
 
-void UpstreamBook::absent(const UpstreamId &id, Time now)
+void UpstreamTable::connectionRefused(const UpstreamId &id, Time now)
 {
     if (const auto it = m_records.find(id); it != m_records.end())
-        it->second.circuit.absent(now);
+        it->second.circuit.connectionRefused(now);
 }
 
-void UpstreamBook::reportedFailing(const UpstreamId &id, const VmName &reporter, Time now)
+void UpstreamTable::reportedFailing(const UpstreamId &id, const VmName &reporter, Time now)
 {
     m_records[id].reports[reporter] = now;
 }
 
 /// By this gateway's evidence, or by that of enough others.
-bool UpstreamBook::isFailing(Record *record, Time now)
+bool UpstreamTable::isFailing(Record *record, Time now)
 {
     std::erase_if(record->reports, [&](const auto &it) { return it.second + reportAge < now; });
     if (record->isReplaced || !record->circuit.allows(now))
@@ -268,7 +272,7 @@
 
 /// The chooser's part of a rate that all gateways share. Where one gateway \p hasMost of it, those
 /// that choose by themselves share the rest; where none does, all have equal parts.
-double UpstreamBook::partOf(const ChoiceAsk &ask, const UpstreamId &id, bool hasMost) const
+double UpstreamTable::partOf(const SelectionQuery &ask, const UpstreamId &id, bool hasMost) const
 {
     if (hasMost && isOfGroup(ask, id))
         return schedulersPart;
@@ -277,7 +281,7 @@
 }
 
 /// Spreads over a spacing the moments at which gateways begin.
-Duration UpstreamBook::phaseOf(const UpstreamId &id, Duration spacing) const
+Duration UpstreamTable::phaseOf(const UpstreamId &id, Duration spacing) const
 {
     constexpr std::uint64_t parts = 256;
     const std::uint64_t part = (std::hash<UpstreamId>{}(id) ^ m_ownNumber) % parts;
@@ -285,31 +289,32 @@
 }
 
 /// Between two calls of the chooser to a cold upstream.
-Duration UpstreamBook::coldSpacing(const ChoiceAsk &ask, const UpstreamId &id) const
+Duration UpstreamTable::coldSpacing(const SelectionQuery &ask, const UpstreamId &id) const
 {
-    if (ask.info == nullptr || ask.info->coldPerSecond <= 0)
+    if (ask.serviceInfo == nullptr || ask.serviceInfo->coldCallsPerSecond <= 0)
         return {};
-    return fromSeconds(1.0 / (partOf(ask, id, ask.placesForAll) * ask.info->coldPerSecond));
+    return fromSeconds(
+        1.0 / (partOf(ask, id, ask.isGroupScheduler) * ask.serviceInfo->coldCallsPerSecond));
 }
 
 /// True for an upstream that is cold and had its share of calls. One that had just started got 15
 /// calls in its first second, of a rate of 5.9.
-bool UpstreamBook::isTooCold(const ChoiceAsk &ask, const UpstreamEntry &entry, Record *record,
-                             Time now) const
+bool UpstreamTable::isTooCold(const SelectionQuery &ask, const UpstreamEntry &entry, Record *record,
+                              Time now) const
 {
     const Duration spacing = coldSpacing(ask, entry.id);
     if (spacing == Duration{})
         return false;
-    const Duration phase = ask.placesForAll ? Duration{} : phaseOf(entry.id, spacing);
+    const Duration phase = ask.isGroupScheduler ? Duration{} : phaseOf(entry.id, spacing);
     record->cold.told(entry.revision, milliseconds(entry.coldLeftMs), phase, now);
     return !record->cold.allows(now);
 }
 
 /// True for an upstream that named a limit and got the chooser's part of it.
-bool UpstreamBook::isOverLimit(const ChoiceAsk &ask, const UpstreamId &id, const Record &record,
-                               Time now) const
+bool UpstreamTable::isOverLimit(const SelectionQuery &ask, const UpstreamId &id,
+                                const Record &record, Time now) const
 {
-    const std::optional<CallRate> limit = m_limits.of(id, now);
+    const std::optional<CallRate> limit = m_limits.currentLimit(id, now);
     if (!limit)
         return false;
     const double rate = std::max(*limit, leastLimit).perSecond();
@@ -319,40 +324,41 @@
     return !record.limit.allowsInSlot(spacing, phaseOf(id, spacing), now);
 }
 
-bool UpstreamBook::isKeptByLimits(const ChoiceAsk &ask, const UpstreamDirectory &directory,
-                                  Time now) const
+bool UpstreamTable::isBlockedByLimit(const SelectionQuery &ask, const UpstreamDirectory &directory,
+                                     Time now) const
 {
     if (m_limits.isEmpty())
         return false;
-    return std::ranges::any_of(directory.usableOf(ask.service), [&](const UpstreamEntry *entry) {
-        return isEligible(ask, *entry) && m_limits.of(entry->id, now);
-    });
+    return std::ranges::any_of(
+        directory.usableUpstreams(ask.service), [&](const UpstreamEntry *entry) {
+            return isEligible(ask, *entry) && m_limits.currentLimit(entry->id, now);
+        });
 }
 
-void UpstreamBook::mayBeCold(const UpstreamId &id, Time now)
+void UpstreamTable::mayBeCold(const UpstreamId &id, Time now)
 {
     m_records[id].cold.doubted(coldDoubt, now);
 }
 
-void UpstreamBook::replaced(const UpstreamId &id)
+void UpstreamTable::replaced(const UpstreamId &id)
 {
     if (const auto it = m_records.find(id); it != m_records.end())
         it->second.isReplaced = true;
 }
 
-void UpstreamBook::setPeerLoad(const VmName &peer, ToldLoad told, Time now, Duration valid)
+void UpstreamTable::setPeerLoad(const VmName &peer, ReportedLoad told, Time now, Duration valid)
 {
     dropOldPeers(now);
     if (!m_costs.usesPeerLoads)
         return;
     PeerLoad &known = m_peers[peer];
     replacePeerLoad(&known, std::move(told.load));
-    dropGrants(&known, told.openFrom, now);
+    dropGrants(&known, told.oldestPendingQuery, now);
     known.validUntil = now + valid;
 }
 
-void UpstreamBook::setPeerLoad(const VmName &peer, ToldLoad told, const std::set<UpstreamId> &group,
-                               Time now)
+void UpstreamTable::setPeerLoad(const VmName &peer, ReportedLoad told,
+                                const std::set<UpstreamId> &group, Time now)
 {
     dropOldPeers(now);
     if (!m_costs.usesPeerLoads)
@@ -363,40 +369,42 @@
             told.load.emplace(id, at);
     }
     replacePeerLoad(&known, std::move(told.load));
-    dropGrants(&known, told.openFrom, now);
-    known.validUntil = std::max(known.validUntil, now + peerLoadAge);
+    dropGrants(&known, told.oldestPendingQuery, now);
+    known.validUntil = std::max(known.validUntil, now + peerLoadLifetime);
 }
 
-bool UpstreamBook::hasOther(const ChoiceAsk &ask, const UpstreamDirectory &directory,
-                            Time now) const
+bool UpstreamTable::hasAlternative(const SelectionQuery &ask, const UpstreamDirectory &directory,
+                                   Time now) const
 {
-    return std::ranges::any_of(directory.usableOf(ask.service), [&](const UpstreamEntry *entry) {
-        return isEligible(ask, *entry) && !isBackedOff(ask, entry->id, now);
-    });
+    return std::ranges::any_of(
+        directory.usableUpstreams(ask.service), [&](const UpstreamEntry *entry) {
+            return isEligible(ask, *entry) && !isBackedOff(ask, entry->id, now);
+        });
 }
 
 /// A backoff binds the gateway that was asked for it; calls placed for others go on.
-bool UpstreamBook::isBackedOff(const ChoiceAsk &ask, const UpstreamId &id, Time now) const
+bool UpstreamTable::isBackedOff(const SelectionQuery &ask, const UpstreamId &id, Time now) const
 {
-    return ask.isOwn && m_backoffs.isBackedOff(id, now);
+    return ask.isLocal && m_backoffs.isBackedOff(id, now);
 }
 
-bool UpstreamBook::isKeptByBackoffs(const ChoiceAsk &ask, const UpstreamDirectory &directory,
-                                    Time now) const
+bool UpstreamTable::isBlockedByBackoff(const SelectionQuery &ask,
+                                       const UpstreamDirectory &directory, Time now) const
 {
     if (m_backoffs.isEmpty())
         return false;
-    return std::ranges::any_of(directory.usableOf(ask.service), [&](const UpstreamEntry *entry) {
-        return isEligible(ask, *entry) && isBackedOff(ask, entry->id, now);
-    });
+    return std::ranges::any_of(
+        directory.usableUpstreams(ask.service), [&](const UpstreamEntry *entry) {
+            return isEligible(ask, *entry) && isBackedOff(ask, entry->id, now);
+        });
 }
 
-std::vector<UpstreamId> UpstreamBook::unhealthyOf(const ServiceName &service,
-                                                  const UpstreamDirectory &directory, Time now,
-                                                  std::size_t most)
+std::vector<UpstreamId> UpstreamTable::unhealthyUpstreams(const ServiceName &service,
+                                                          const UpstreamDirectory &directory,
+                                                          Time now, std::size_t most)
 {
     std::vector<UpstreamId> found;
-    for (const UpstreamEntry *entry : directory.usableOf(service)) {
+    for (const UpstreamEntry *entry : directory.usableUpstreams(service)) {
         if (found.size() == most)
             break;
         const auto it = m_records.find(entry->id);
@@ -407,7 +415,7 @@
     return found;
 }
 
-LoadByUpstream UpstreamBook::ownLoad() const
+LoadByUpstream UpstreamTable::ownLoad() const
 {
     LoadByUpstream load;
     for (const auto &[id, record] : m_records) {
--- a/src/libreachlead/upstreambook_cold_test.cpp
+++ b/src/libreachlead/upstreamtable_cold_test.cpp
@@ -9,7 +9,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -49,13 +49,13 @@
     /// A gateway with ten warm upstreams that have work, and a cold one that has none.
     struct Chooser
     {
-        explicit Chooser(std::uint64_t number, bool placesForAll, std::size_t warm = 10,
+        explicit Chooser(std::uint64_t number, bool isGroupScheduler, std::size_t warm = 10,
                          double perSecond = rate)
-            : isScheduler(placesForAll)
+            : isScheduler(isGroupScheduler)
         {
             info.name = ServiceName("llm");
             info.engineSlots = 64;
-            info.coldPerSecond = perSecond;
+            info.coldCallsPerSecond = perSecond;
             book.setFleet(30, number);
             directory.replaceAll(entries(warm, coldMs, 5), 5, start);
             LoadByUpstream load;
@@ -67,10 +67,10 @@
         /// Places a call; true when it went to the cold upstream.
         bool place(Time now)
         {
-            ChoiceAsk ask{ServiceName("llm"), "m", {}, nullptr, &info};
-            ask.placesForAll = isScheduler;
+            SelectionQuery ask{ServiceName("llm"), "m", {}, nullptr, &info};
+            ask.isGroupScheduler = isScheduler;
             ask.group = group;
-            const auto choice = book.choose(ask, directory, now);
+            const auto choice = book.select(ask, directory, now);
             if (!choice)
                 return false;
             ++placed;
@@ -91,7 +91,7 @@
         ServiceInfo info;
         bool isScheduler = false;
         const std::set<UpstreamId> *group = nullptr;
-        UpstreamBook book{ZoneName("z"), UpstreamBook::Costs()};
+        UpstreamTable book{ZoneName("z"), UpstreamTable::Costs()};
         UpstreamDirectory directory;
         int placed = 0;
     };
--- a/src/libreachlead/upstreambook_limit_test.cpp
+++ b/src/libreachlead/upstreamtable_limit_test.cpp
@@ -10,7 +10,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -62,12 +62,12 @@
         /// Places a call; true when it went to the limited upstream.
         bool place(Time now, const std::set<UpstreamId> *group, CallRate rate = limit)
         {
-            book.limits().heard(UpstreamId("limited"), rate, now, 0);
-            ChoiceAsk ask{ServiceName("llm"), "m", {}, nullptr, nullptr};
+            book.limits().recordAnswer(UpstreamId("limited"), rate, now, 0);
+            SelectionQuery ask{ServiceName("llm"), "m", {}, nullptr, nullptr};
             ask.group = group;
-            ask.placesForAll = ownsLimits;
+            ask.isGroupScheduler = ownsLimits;
             ask.ownsLimits = ownsLimits;
-            const auto choice = book.choose(ask, directory, now);
+            const auto choice = book.select(ask, directory, now);
             CPPUNIT_ASSERT(choice.has_value());
             book.sent(choice->upstream, ask, *choice, now);
             book.ended(choice->upstream, 0, false);
@@ -75,7 +75,7 @@
         }
 
         bool ownsLimits;
-        UpstreamBook book{ZoneName("z"), UpstreamBook::Costs()};
+        UpstreamTable book{ZoneName("z"), UpstreamTable::Costs()};
         UpstreamDirectory directory;
     };
 
--- a/src/libreachlead/upstreambook_grants_test.cpp
+++ b/src/libreachlead/upstreamtable_pending_test.cpp
@@ -12,7 +12,7 @@
 #include <rapidcheck.h>
 
 #include <reachlead/placementgroups.h>
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -51,14 +51,14 @@
         return made;
     }
 
-    static UpstreamBook book() { return {ZoneName("z0"), UpstreamBook::Costs()}; }
+    static UpstreamTable book() { return {ZoneName("z0"), UpstreamTable::Costs()}; }
 
     static std::vector<PromptPart> prompt(std::uint64_t subject, std::uint64_t session)
     {
         return {{subject, 13'000}, {session, 3'000}};
     }
 
-    static ChoiceAsk ask(const std::vector<PromptPart> &prompt)
+    static SelectionQuery ask(const std::vector<PromptPart> &prompt)
     {
         return {ServiceName("llm"), "m", prompt, nullptr};
     }
@@ -66,55 +66,55 @@
     void grantCountsUntilItsGatewayTellsOfIt()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1, 2);
-        const Choice choice = one.choose(ask(parts), upstreams, start).value();
-        one.granted(peer, 7, ask(parts), choice, start);
-        CPPUNIT_ASSERT_EQUAL(1U, one.loadOf(choice.upstream, start).running);
-        CPPUNIT_ASSERT_EQUAL(choice.unreadTokens, one.loadOf(choice.upstream, start).unreadTokens);
+        const Selection choice = one.select(ask(parts), upstreams, start).value();
+        one.addPendingPlacement(peer, 7, ask(parts), choice, start);
+        CPPUNIT_ASSERT_EQUAL(1U, one.load(choice.upstream, start).running);
+        CPPUNIT_ASSERT_EQUAL(choice.prefillTokens, one.load(choice.upstream, start).prefillTokens);
         one.setPeerLoad(peer, {{}, 7}, start); // sent before it had the answer
-        CPPUNIT_ASSERT_EQUAL(1U, one.loadOf(choice.upstream, start).running);
+        CPPUNIT_ASSERT_EQUAL(1U, one.load(choice.upstream, start).running);
         one.setPeerLoad(peer, {{{choice.upstream, {1, 500, 0}}}, 8}, start);
-        CPPUNIT_ASSERT_EQUAL(1U, one.loadOf(choice.upstream, start).running);
-        CPPUNIT_ASSERT_EQUAL(TokenCount{500}, one.loadOf(choice.upstream, start).unreadTokens);
+        CPPUNIT_ASSERT_EQUAL(1U, one.load(choice.upstream, start).running);
+        CPPUNIT_ASSERT_EQUAL(TokenCount{500}, one.load(choice.upstream, start).prefillTokens);
     }
 
     void grantWhoseAnswerWasLostIsForgotten()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1, 2);
-        const Choice choice = one.choose(ask(parts), upstreams, start).value();
-        one.granted(peer, 7, ask(parts), choice, start);
-        const Time later = start + UpstreamBook::grantLimit + milliseconds(1);
+        const Selection choice = one.select(ask(parts), upstreams, start).value();
+        one.addPendingPlacement(peer, 7, ask(parts), choice, start);
+        const Time later = start + UpstreamTable::grantLimit + milliseconds(1);
         one.setPeerLoad(peer, {{}, 0}, later);
-        CPPUNIT_ASSERT_EQUAL(0U, one.loadOf(choice.upstream, later).running);
+        CPPUNIT_ASSERT_EQUAL(0U, one.load(choice.upstream, later).running);
     }
 
     void wordOfOneGroupLeavesTheOthers()
     {
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const UpstreamId a("a");
         const UpstreamId b("b");
         one.setPeerLoad(peer, {{{a, {3, 100, 1}}, {b, {2, 50, 2}}}}, start);
         one.setPeerLoad(peer, {{{a, {1, 10, 0}}}}, {a}, start);
-        CPPUNIT_ASSERT_EQUAL(1U, one.loadOf(a, start).running);
-        CPPUNIT_ASSERT_EQUAL(2U, one.loadOf(b, start).running);
+        CPPUNIT_ASSERT_EQUAL(1U, one.load(a, start).running);
+        CPPUNIT_ASSERT_EQUAL(2U, one.load(b, start).running);
         one.setPeerLoad(peer, {}, {a}, start);
-        CPPUNIT_ASSERT_EQUAL(0U, one.loadOf(a, start).running);
-        CPPUNIT_ASSERT_EQUAL(2U, one.loadOf(b, start).running);
+        CPPUNIT_ASSERT_EQUAL(0U, one.load(a, start).running);
+        CPPUNIT_ASSERT_EQUAL(2U, one.load(b, start).running);
     }
 
     void nothingIsLeftOfAGatewayThatIsGone()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1, 2);
-        const Choice choice = one.choose(ask(parts), upstreams, start).value();
-        one.granted(peer, 7, ask(parts), choice, start);
-        const Time later = start + UpstreamBook::peerLoadAge + milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(0U, one.loadOf(choice.upstream, later).running);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.peersHeard());
+        const Selection choice = one.select(ask(parts), upstreams, start).value();
+        one.addPendingPlacement(peer, 7, ask(parts), choice, start);
+        const Time later = start + UpstreamTable::peerLoadLifetime + milliseconds(1);
+        CPPUNIT_ASSERT_EQUAL(0U, one.load(choice.upstream, later).running);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.peerCount());
     }
 
     /// Any order of placed calls, words and silence leaves exactly the load that still stands.
@@ -122,17 +122,17 @@
     {
         const bool holds = rc::check("load of peers", [] {
             const UpstreamDirectory upstreams = directory(4);
-            UpstreamBook one = book();
+            UpstreamTable one = book();
             std::map<VmName, LoadByUpstream> told;
-            std::map<VmName, std::map<AskNumber, UpstreamId>> open;
-            AskNumber number = 0;
+            std::map<VmName, std::map<QueryId, UpstreamId>> open;
+            QueryId number = 0;
             const auto steps = *rc::gen::inRange(1, 60);
             for (int n = 0; n < steps; ++n) {
                 const VmName vm(fmt::format("g{}", *rc::gen::inRange(0, 3)));
                 if (*rc::gen::arbitrary<bool>()) {
                     const auto parts = prompt(*rc::gen::inRange<std::uint64_t>(1, 9), number + 100);
-                    const Choice choice = one.choose(ask(parts), upstreams, start).value();
-                    one.granted(vm, ++number, ask(parts), choice, start);
+                    const Selection choice = one.select(ask(parts), upstreams, start).value();
+                    one.addPendingPlacement(vm, ++number, ask(parts), choice, start);
                     open[vm][number] = choice.upstream;
                     continue;
                 }
@@ -141,7 +141,7 @@
                     if (const auto running = *rc::gen::inRange(0U, 4U))
                         load[id] = {running, running * 100ULL, running / 2};
                 }
-                const AskNumber from = *rc::gen::inRange<AskNumber>(0, number + 2);
+                const QueryId from = *rc::gen::inRange<QueryId>(0, number + 2);
                 std::erase_if(open[vm], [&](const auto &it) { return it.first < from; });
                 told[vm] = load;
                 one.setPeerLoad(vm, {load, from}, start);
@@ -153,11 +153,11 @@
                 for (const auto &granted : open | std::views::values)
                     running += static_cast<std::uint32_t>(
                         std::ranges::count(granted | std::views::values, id));
-                RC_ASSERT(one.loadOf(id, start).running == running);
+                RC_ASSERT(one.load(id, start).running == running);
             }
-            const Time later = start + UpstreamBook::peerLoadAge + milliseconds(1);
+            const Time later = start + UpstreamTable::peerLoadLifetime + milliseconds(1);
             for (const UpstreamId &id : upstreams.entries() | std::views::keys)
-                RC_ASSERT(one.loadOf(id, later).running == 0U);
+                RC_ASSERT(one.load(id, later).running == 0U);
         });
         CPPUNIT_ASSERT(holds);
     }
@@ -165,32 +165,32 @@
     void groupIsLeftOnlyForAClearGain()
     {
         const UpstreamDirectory upstreams = directory(6);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const std::set<UpstreamId> group{UpstreamId("u0"), UpstreamId("u1")};
         const auto parts = prompt(1, 2);
-        ChoiceAsk wanted = ask(parts);
+        SelectionQuery wanted = ask(parts);
         wanted.group = &group;
-        const Choice first = one.choose(wanted, upstreams, start).value();
+        const Selection first = one.select(wanted, upstreams, start).value();
         CPPUNIT_ASSERT(group.contains(first.upstream));
-        CPPUNIT_ASSERT(first.isHome);
+        CPPUNIT_ASSERT(first.isPreferred);
         LoadByUpstream load;
         for (const UpstreamId &id : group)
             load[id] = {20, 400'000, 0}; // 11 s of reading
         one.setPeerLoad(peer, {load}, start);
-        const Choice spilled = one.choose(wanted, upstreams, start).value();
+        const Selection spilled = one.select(wanted, upstreams, start).value();
         CPPUNIT_ASSERT(!group.contains(spilled.upstream));
     }
 
     void zoneOfTheCallerCounts()
     {
         const UpstreamDirectory upstreams = directory(6);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const ZoneName other("z2");
-        ChoiceAsk plain{ServiceName("llm"), "", {}, nullptr};
-        const Choice near = one.choose(plain, upstreams, start).value();
+        SelectionQuery plain{ServiceName("llm"), "", {}, nullptr};
+        const Selection near = one.select(plain, upstreams, start).value();
         CPPUNIT_ASSERT(upstreams.find(near.upstream)->zone == ZoneName("z0"));
         plain.zone = &other;
-        const Choice far = one.choose(plain, upstreams, start).value();
+        const Selection far = one.select(plain, upstreams, start).value();
         CPPUNIT_ASSERT(upstreams.find(far.upstream)->zone == other);
     }
 
@@ -198,31 +198,31 @@
     void upstreamWhereNobodyListensIsFoundOutOnce()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1, 2);
-        const Choice choice = one.choose(ask(parts), upstreams, start).value();
+        const Selection choice = one.select(ask(parts), upstreams, start).value();
         one.sent(choice.upstream, ask(parts), choice, start);
-        one.ended(choice.upstream, choice.unreadTokens, choice.isBrief);
-        one.absent(choice.upstream, start);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, start)->upstream != choice.upstream);
-        CPPUNIT_ASSERT(one.unhealthyOf(ServiceName("llm"), upstreams, start, 9)
+        one.ended(choice.upstream, choice.prefillTokens, choice.isShortPrompt);
+        one.connectionRefused(choice.upstream, start);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream != choice.upstream);
+        CPPUNIT_ASSERT(one.unhealthyUpstreams(ServiceName("llm"), upstreams, start, 9)
                        == std::vector{choice.upstream});
-        CPPUNIT_ASSERT(one.unhealthyOf(ServiceName("llm"), upstreams, start, 0).empty());
+        CPPUNIT_ASSERT(one.unhealthyUpstreams(ServiceName("llm"), upstreams, start, 0).empty());
     }
 
     void oneGatewaysWordDoesNotTakeAnUpstreamFromOthers()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1, 2);
-        const UpstreamId home = one.choose(ask(parts), upstreams, start)->upstream;
+        const UpstreamId home = one.select(ask(parts), upstreams, start)->upstream;
         one.reportedFailing(home, VmName("cut-off"), start);
         one.reportedFailing(home, VmName("cut-off"), start);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, start)->upstream == home);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream == home);
         one.reportedFailing(home, VmName("another"), start);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, start)->upstream != home);
-        const Time later = start + UpstreamBook::reportAge + milliseconds(1);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, later)->upstream == home);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream != home);
+        const Time later = start + UpstreamTable::reportAge + milliseconds(1);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, later)->upstream == home);
     }
 
     /// What a burst of prompts asks of the engines.
@@ -239,11 +239,11 @@
         std::map<UpstreamId, TokenCount> read;
         for (std::uint64_t n = 0; n < 600; ++n) {
             const auto parts = prompt(1 + n * 7 % 200, 1000 + n);
-            UpstreamBook &placing = chooser(n, parts);
-            const Choice choice = placing.choose(ask(parts), upstreams, start).value();
-            placing.granted(VmName(fmt::format("g{}", n % 60)), static_cast<AskNumber>(n),
-                            ask(parts), choice, start);
-            read[choice.upstream] += choice.unreadTokens;
+            UpstreamTable &placing = chooser(n, parts);
+            const Selection choice = placing.select(ask(parts), upstreams, start).value();
+            placing.addPendingPlacement(VmName(fmt::format("g{}", n % 60)), static_cast<QueryId>(n),
+                                        ask(parts), choice, start);
+            read[choice.upstream] += choice.prefillTokens;
         }
         Burst burst;
         for (const TokenCount tokens : read | std::views::values) {
@@ -258,16 +258,16 @@
     void oneSchedulerSpreadsABurst()
     {
         const UpstreamDirectory upstreams = directory(64);
-        std::map<std::uint64_t, UpstreamBook> alone;
+        std::map<std::uint64_t, UpstreamTable> alone;
         const Burst apart = play(upstreams, [&](std::uint64_t n, const auto & /*parts*/) -> auto & {
             return alone.try_emplace(n % 60, book()).first->second;
         });
         PlacementGroups groups;
-        std::map<GroupName, UpstreamBook> schedulers;
+        std::map<GroupName, UpstreamTable> schedulers;
         const Burst together =
             play(upstreams, [&](std::uint64_t /*n*/, const auto &parts) -> auto & {
                 const auto group =
-                    groups.groupOf(ServiceName("llm"), keyParts("m", parts), upstreams);
+                    groups.findGroup(ServiceName("llm"), keyParts("m", parts), upstreams);
                 return schedulers.try_emplace(*group, book()).first->second;
             });
         CPPUNIT_ASSERT(together.busiest * 2 < apart.busiest);
--- a/src/libreachlead/upstreambook_choice.cpp
+++ b/src/libreachlead/upstreamtable_selection.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// UpstreamBook's choice of an upstream: the terms of the cost, and the baselines.
+/// UpstreamTable's choice of an upstream: the terms of the cost, and the baselines.
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 
 #include <xxhash.h>
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -49,7 +49,8 @@
 
 } // namespace
 
-std::optional<UpstreamId> homeOf(PromptKey key, std::span<const UpstreamEntry *const> among)
+std::optional<UpstreamId> preferredUpstream(PromptKey key,
+                                            std::span<const UpstreamEntry *const> among)
 {
     if (among.empty())
         return std::nullopt;
@@ -59,13 +60,13 @@
     return (*std::ranges::max_element(among, {}, score))->id;
 }
 
-std::span<const KeyedPart> UpstreamBook::Placement::shared() const
+std::span<const KeyedPart> UpstreamTable::Placement::shared() const
 {
     const std::span<const KeyedPart> all(parts);
     return all.empty() ? all : all.first(all.size() - 1);
 }
 
-UpstreamBook::Placement UpstreamBook::placementOf(const ChoiceAsk &ask)
+UpstreamTable::Placement UpstreamTable::placementOf(const SelectionQuery &ask)
 {
     Placement placement;
     placement.parts = keyParts(ask.model, ask.prompt);
@@ -74,7 +75,7 @@
     return placement;
 }
 
-double UpstreamBook::fetchCost(TokenCount tokens, const ServiceInfo &info) const
+double UpstreamTable::fetchCost(TokenCount tokens, const ServiceInfo &info) const
 {
     const auto n = static_cast<double>(tokens);
     const double bits = n * bitsPerByte * static_cast<double>(info.engineTokenBytes);
@@ -89,73 +90,73 @@
 /// Were the first parts alone to draw a prompt, engines that never got one would stay idle: of 55
 /// engines 13 read no long prompt in 34 s, and 687 of 2,861 long prompts had their first event
 /// later than 0.6 s where now 157 of 2,879 have.
-double UpstreamBook::readingCost(const Candidate &candidate, const ChoiceAsk &ask,
-                                 const Placement &placement, Choice *choice) const
+double UpstreamTable::readingCost(const Candidate &candidate, const SelectionQuery &ask,
+                                  const Placement &placement, Selection *choice) const
 {
     const double readMs = 1.0 / m_costs.tokensPerMs;
     const TokenCount mostHeld = placement.isCold ? placement.sharedTokens : placement.mostHeld;
-    const TokenCount held = placement.isCold && choice->isHome
+    const TokenCount held = placement.isCold && choice->isPreferred
         ? std::max(candidate.held, placement.sharedTokens)
         : candidate.held;
     const TokenCount again = mostHeld - std::min(mostHeld, held);
     const TokenCount unread = placement.tokens - std::min(placement.tokens, held);
-    choice->unreadTokens = placement.tokens - std::min(placement.tokens, candidate.held);
+    choice->prefillTokens = placement.tokens - std::min(placement.tokens, candidate.held);
     double cost = readMs * static_cast<double>(unread);
-    cost += m_costs.rereadFactor * readMs * static_cast<double>(again);
+    cost += m_costs.recomputeFactor * readMs * static_cast<double>(again);
     const bool canFetch =
-        placement.source != nullptr && ask.info != nullptr && ask.info->canFetch();
+        placement.source != nullptr && ask.serviceInfo != nullptr && ask.serviceInfo->canFetch();
     const TokenCount fetched = placement.mostHeld - std::min(placement.mostHeld, candidate.held);
     if (!canFetch || fetched == 0)
         return cost;
-    const double read = (1.0 + m_costs.rereadFactor) * readMs * static_cast<double>(fetched);
-    const double saved = read - fetchCost(fetched, *ask.info);
+    const double read = (1.0 + m_costs.recomputeFactor) * readMs * static_cast<double>(fetched);
+    const double saved = read - fetchCost(fetched, *ask.serviceInfo);
     if (saved <= 0)
         return cost;
-    choice->unreadTokens -= fetched;
+    choice->prefillTokens -= fetched;
     choice->fetchFrom = placement.source->entry->id;
     return again == 0 ? cost : cost - saved;
 }
 
 /// What it costs to be behind the work that an upstream has.
-double UpstreamBook::loadCost(const ChoiceAsk &ask, const UpstreamEntry &entry,
-                              const UpstreamLoad &load, bool isHealthy) const
+double UpstreamTable::loadCost(const SelectionQuery &ask, const UpstreamEntry &entry,
+                               const UpstreamLoad &load, bool isHealthy) const
 {
-    double cost = static_cast<double>(load.unreadTokens) / m_costs.tokensPerMs;
-    cost += m_costs.perRunning * load.running;
+    double cost = static_cast<double>(load.prefillTokens) / m_costs.tokensPerMs;
+    cost += m_costs.perRunningRequest * load.running;
     if (load.running >= entry.slots)
-        cost += m_costs.perQueued * (load.running - entry.slots + 1);
+        cost += m_costs.perQueuedRequest * (load.running - entry.slots + 1);
     if (entry.zone != zoneOf(ask))
-        cost += m_costs.otherZone;
+        cost += m_costs.crossZone;
     if (ask.group != nullptr && !ask.group->contains(entry.id))
-        cost += m_costs.otherGroup;
+        cost += m_costs.crossGroup;
     if (!isHealthy)
         cost += m_costs.unhealthy;
     return cost;
 }
 
-const ZoneName &UpstreamBook::zoneOf(const ChoiceAsk &ask) const
+const ZoneName &UpstreamTable::zoneOf(const SelectionQuery &ask) const
 {
     return ask.zone != nullptr ? *ask.zone : m_zone;
 }
 
-bool UpstreamBook::isShort(const ChoiceAsk &ask) const
+bool UpstreamTable::isShort(const SelectionQuery &ask) const
 {
-    return tokensOf(ask.prompt) <= m_costs.shortPrompt;
+    return tokensOf(ask.prompt) <= m_costs.maxShortPromptTokens;
 }
 
 /// What is asked of each service's engines, by all gateways that were heard.
-std::map<ServiceName, QuietEngines::Demand>
-UpstreamBook::demand(const UpstreamDirectory &directory) const
+std::map<ServiceName, DedicatedEngines::Demand>
+UpstreamTable::demand(const UpstreamDirectory &directory) const
 {
-    std::map<ServiceName, QuietEngines::Demand> demand;
+    std::map<ServiceName, DedicatedEngines::Demand> demand;
     const auto add = [&](const UpstreamId &id, const UpstreamLoad &load) {
         const UpstreamEntry *entry = directory.find(id);
         if (entry == nullptr)
             return;
-        QuietEngines::Demand &of = demand[entry->service];
-        of.brief += load.brief;
+        DedicatedEngines::Demand &of = demand[entry->service];
+        of.brief += load.shortPrompts;
         if (!m_quiet.isQuiet(entry->service, id))
-            of.backlog += static_cast<double>(load.unreadTokens) / m_costs.tokensPerMs;
+            of.backlog += static_cast<double>(load.prefillTokens) / m_costs.tokensPerMs;
     };
     for (const auto &[id, record] : m_records)
         add(id, record.load);
@@ -164,17 +165,17 @@
     return demand;
 }
 
-double UpstreamBook::quietCost(const ChoiceAsk &ask, bool isQuiet) const
+double UpstreamTable::quietCost(const SelectionQuery &ask, bool isQuiet) const
 {
     if (ask.prompt.empty() || isShort(ask) == isQuiet)
         return 0;
-    return isQuiet ? m_costs.longInQuiet : m_costs.shortOutside;
+    return isQuiet ? m_costs.longInDedicated : m_costs.shortOutsideDedicated;
 }
 
-std::vector<UpstreamBook::Candidate> UpstreamBook::candidates(const ChoiceAsk &ask,
-                                                              const Placement &placement,
-                                                              const UpstreamDirectory &directory,
-                                                              Time now)
+std::vector<UpstreamTable::Candidate> UpstreamTable::candidates(const SelectionQuery &ask,
+                                                                const Placement &placement,
+                                                                const UpstreamDirectory &directory,
+                                                                Time now)
 {
     static const std::set<UpstreamId> none;
     dropOldPeers(now);
@@ -183,7 +184,7 @@
     const std::set<UpstreamId> &quiet =
         ask.prompt.empty() ? none : m_quiet.of(ask.service, directory, now);
     std::vector<Candidate> all;
-    for (const UpstreamEntry *entry : directory.usableOf(ask.service)) {
+    for (const UpstreamEntry *entry : directory.usableUpstreams(ask.service)) {
         if (!isEligible(ask, *entry) || isBackedOff(ask, entry->id, now))
             continue;
         Record &record = m_records[entry->id];
@@ -205,8 +206,8 @@
 
 /// The home is among the healthy engines of the prompt's kind and the chooser's group, if there are
 /// any: a home outside the group would be known to another chooser only.
-void UpstreamBook::findHome(const ChoiceAsk &ask, const std::vector<Candidate> &among,
-                            Placement *placement) const
+void UpstreamTable::findHome(const SelectionQuery &ask, const std::vector<Candidate> &among,
+                             Placement *placement) const
 {
     if (sharedParts(ask.prompt).empty())
         return;
@@ -228,14 +229,14 @@
     }
     const PromptKey last = placement->shared().back().key;
     if (!near.empty())
-        placement->home = homeOf(last, near);
+        placement->home = preferredUpstream(last, near);
     else
-        placement->home = homeOf(last, fit.empty() ? any : fit);
+        placement->home = preferredUpstream(last, fit.empty() ? any : fit);
 }
 
 /// The least loaded of the engines that hold most of the shared parts, and have read them by now.
-void UpstreamBook::findSource(const ChoiceAsk &ask, const std::vector<Candidate> &among, Time now,
-                              Placement *placement) const
+void UpstreamTable::findSource(const SelectionQuery &ask, const std::vector<Candidate> &among,
+                               Time now, Placement *placement) const
 {
     // Reading a short prompt's shared part again costs less than sending it to another zone.
     const bool staysInZone = isShort(ask);
@@ -264,32 +265,32 @@
 /// As long as a chunk or two are to be read the pause stays in its bound; a longer run of chunks
 /// makes all streams of the engine late at once. Of 2,313 short calls on days without trouble 28
 /// were late with this term, 112 without it.
-double UpstreamBook::pauseCost(const Candidate &candidate, TokenCount unread) const
+double UpstreamTable::pauseCost(const Candidate &candidate, TokenCount unread) const
 {
-    const auto bearable = static_cast<double>(m_costs.shortPrompt);
-    const auto backlog = static_cast<double>(candidate.load.unreadTokens + unread);
+    const auto bearable = static_cast<double>(m_costs.maxShortPromptTokens);
+    const auto backlog = static_cast<double>(candidate.load.prefillTokens + unread);
     const double beyond = std::clamp((backlog - bearable) / bearable, 0.0, 1.0);
-    return m_costs.perPaused * candidate.load.brief * beyond;
+    return m_costs.perStalledStream * candidate.load.shortPrompts * beyond;
 }
 
-double UpstreamBook::costByCost(const Candidate &candidate, const ChoiceAsk &ask,
-                                const Placement &placement, Choice *choice) const
+double UpstreamTable::costByCost(const Candidate &candidate, const SelectionQuery &ask,
+                                 const Placement &placement, Selection *choice) const
 {
     double cost = candidate.loadCost + quietCost(ask, candidate.isQuiet);
     cost += readingCost(candidate, ask, placement, choice);
-    return ask.prompt.empty() ? cost : cost + pauseCost(candidate, choice->unreadTokens);
+    return ask.prompt.empty() ? cost : cost + pauseCost(candidate, choice->prefillTokens);
 }
 
-double UpstreamBook::costHomeOnly(const Candidate &candidate, const ChoiceAsk &ask,
-                                  const Placement &placement, Choice *choice) const
+double UpstreamTable::costHomeOnly(const Candidate &candidate, const SelectionQuery &ask,
+                                   const Placement &placement, Selection *choice) const
 {
     if (placement.home)
-        return choice->isHome ? 0 : m_costs.unhealthy;
+        return choice->isPreferred ? 0 : m_costs.unhealthy;
     return costLeastLoaded(candidate, ask, placement, choice);
 }
 
-double UpstreamBook::costLeastLoaded(const Candidate &candidate, const ChoiceAsk &ask,
-                                     const Placement & /*placement*/, Choice * /*choice*/) const
+double UpstreamTable::costLeastLoaded(const Candidate &candidate, const SelectionQuery &ask,
+                                      const Placement & /*placement*/, Selection * /*choice*/) const
 {
     constexpr double zoneTie = 0.5; // less than one request
     const double load =
@@ -297,44 +298,44 @@
     return load + (candidate.isHealthy ? 0 : m_costs.unhealthy);
 }
 
-double UpstreamBook::costRoundRobin(const Candidate &candidate, const ChoiceAsk & /*ask*/,
-                                    const Placement & /*placement*/, Choice * /*choice*/) const
+double UpstreamTable::costRoundRobin(const Candidate &candidate, const SelectionQuery & /*ask*/,
+                                     const Placement & /*placement*/, Selection * /*choice*/) const
 {
     const std::uint64_t turn = m_records.at(candidate.entry->id).lastTurn;
     // Turns count up without end, so what is out of order is put behind all of them.
     return static_cast<double>(turn) + (candidate.isHealthy ? 0 : static_cast<double>(m_turns) + 1);
 }
 
-std::optional<Choice> UpstreamBook::choose(const ChoiceAsk &ask, const UpstreamDirectory &directory,
-                                           Time now)
+std::optional<Selection> UpstreamTable::select(const SelectionQuery &ask,
+                                               const UpstreamDirectory &directory, Time now)
 {
     Placement placement = placementOf(ask);
     const std::vector<Candidate> all = candidates(ask, placement, directory, now);
     findHome(ask, all, &placement);
     findSource(ask, all, now, &placement);
-    constexpr std::array<CostOf, 4> costs{&UpstreamBook::costByCost, &UpstreamBook::costHomeOnly,
-                                          &UpstreamBook::costLeastLoaded,
-                                          &UpstreamBook::costRoundRobin};
+    constexpr std::array<CostOf, 4> costs{&UpstreamTable::costByCost, &UpstreamTable::costHomeOnly,
+                                          &UpstreamTable::costLeastLoaded,
+                                          &UpstreamTable::costRoundRobin};
     const CostOf costOf = costs[static_cast<std::size_t>(m_costs.strategy)];
-    const ServicePace &pace = paceOf(ask.service);
-    std::optional<Choice> best;
-    std::optional<Duration> leastWait;
+    const ServiceRate &pace = serviceRate(ask.service);
+    std::optional<Selection> best;
+    std::optional<Duration> minQueueWait;
     for (const Candidate &candidate : all) {
-        Choice choice;
+        Selection choice;
         choice.upstream = candidate.entry->id;
-        choice.isHome = placement.home == candidate.entry->id;
-        choice.isBrief = !ask.prompt.empty() && isShort(ask);
+        choice.isPreferred = placement.home == candidate.entry->id;
+        choice.isShortPrompt = !ask.prompt.empty() && isShort(ask);
         choice.cost = (this->*costOf)(candidate, ask, placement, &choice);
-        choice.aheadTokens = candidate.load.unreadTokens + choice.unreadTokens;
-        const Duration wait = pace.waitFor(candidate.load.unreadTokens, candidate.load.running,
+        choice.tokensToFirstEvent = candidate.load.prefillTokens + choice.prefillTokens;
+        const Duration wait = pace.waitFor(candidate.load.prefillTokens, candidate.load.running,
                                            candidate.entry->slots, 0);
-        if (candidate.isHealthy && (!leastWait || wait < *leastWait))
-            leastWait = wait;
+        if (candidate.isHealthy && (!minQueueWait || wait < *minQueueWait))
+            minQueueWait = wait;
         if (!best || choice.cost < best->cost)
             best = choice;
     }
     if (best) {
-        best->leastWait = leastWait.value_or(Duration{});
+        best->minQueueWait = minQueueWait.value_or(Duration{});
         best->coldSpacing = coldSpacing(ask, best->upstream);
     }
     return best;
--- a/src/libreachlead/upstreambook_test.cpp
+++ b/src/libreachlead/upstreamtable_test.cpp
@@ -9,7 +9,7 @@
 
 #include <fmt/format.h>
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -62,9 +62,9 @@
         return made;
     }
 
-    static UpstreamBook book(const std::string &zone = "z0")
+    static UpstreamTable book(const std::string &zone = "z0")
     {
-        return {ZoneName(zone), UpstreamBook::Costs()};
+        return {ZoneName(zone), UpstreamTable::Costs()};
     }
 
     static std::vector<PromptPart> prompt(std::uint64_t subject)
@@ -72,7 +72,7 @@
         return {{subject, 13'000}, {subject * 7919 + 1, 3'000}};
     }
 
-    static ChoiceAsk ask(const std::vector<PromptPart> &prompt)
+    static SelectionQuery ask(const std::vector<PromptPart> &prompt)
     {
         return {ServiceName("llm"), "m", prompt, nullptr};
     }
@@ -80,14 +80,14 @@
     void gatewaysAgreeOnTheHomeOfAPrompt()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book("z0");
-        UpstreamBook two = book("z2");
+        UpstreamTable one = book("z0");
+        UpstreamTable two = book("z2");
         std::set<UpstreamId> used;
         for (std::uint64_t subject = 1; subject <= 200; ++subject) {
             const auto parts = prompt(subject);
-            const auto first = one.choose(ask(parts), upstreams, start);
-            const auto second = two.choose(ask(parts), upstreams, start);
-            CPPUNIT_ASSERT(first->isHome && second->isHome);
+            const auto first = one.select(ask(parts), upstreams, start);
+            const auto second = two.select(ask(parts), upstreams, start);
+            CPPUNIT_ASSERT(first->isPreferred && second->isPreferred);
             CPPUNIT_ASSERT_EQUAL(first->upstream.text, second->upstream.text);
             used.insert(first->upstream);
         }
@@ -96,11 +96,11 @@
 
     void lossOfAnUpstreamMovesOnlyItsPrompts()
     {
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         for (std::uint64_t subject = 1; subject <= 200; ++subject) {
             const auto parts = prompt(subject);
-            const auto before = one.choose(ask(parts), directory(9), start);
-            const auto after = one.choose(ask(parts), directory(9, 4), start);
+            const auto before = one.select(ask(parts), directory(9), start);
+            const auto after = one.select(ask(parts), directory(9, 4), start);
             if (before->upstream != UpstreamId("u4"))
                 CPPUNIT_ASSERT_EQUAL(before->upstream.text, after->upstream.text);
         }
@@ -109,11 +109,11 @@
     void promptGoesHomeAcrossTheZoneBorder()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book("z0");
+        UpstreamTable one = book("z0");
         unsigned across = 0;
         for (std::uint64_t subject = 1; subject <= 90; ++subject) {
             const auto parts = prompt(subject);
-            const auto choice = one.choose(ask(parts), upstreams, start);
+            const auto choice = one.select(ask(parts), upstreams, start);
             across += upstreams.find(choice->upstream)->zone != ZoneName("z0") ? 1 : 0;
         }
         CPPUNIT_ASSERT(across > 45);
@@ -122,21 +122,21 @@
     void backlogAtHomeSpills()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1);
-        const auto home = one.choose(ask(parts), upstreams, start);
-        Choice heavy = *home;
-        heavy.unreadTokens = 400'000; // some ten seconds of reading
+        const auto home = one.select(ask(parts), upstreams, start);
+        Selection heavy = *home;
+        heavy.prefillTokens = 400'000; // some ten seconds of reading
         one.sent(home->upstream, ask(prompt(2)), heavy, start);
-        const auto spilled = one.choose(ask(parts), upstreams, start);
+        const auto spilled = one.select(ask(parts), upstreams, start);
         CPPUNIT_ASSERT(spilled->upstream != home->upstream);
     }
 
     void plainCallsStayInTheZone()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book("z1");
-        const auto choice = one.choose(ask({}), upstreams, start);
+        UpstreamTable one = book("z1");
+        const auto choice = one.select(ask({}), upstreams, start);
         CPPUNIT_ASSERT_EQUAL(std::string("z1"), upstreams.find(choice->upstream)->zone.text);
     }
 
@@ -145,53 +145,53 @@
         UpstreamDirectory upstreams = directory(2);
         UpstreamEntry leaving = *upstreams.find(UpstreamId("u0"));
         leaving.leaving = true;
-        upstreams.apply({{leaving, false}}, 2, start);
-        UpstreamBook one = book();
+        upstreams.applyChanges({{leaving, false}}, 2, start);
+        UpstreamTable one = book();
         CPPUNIT_ASSERT_EQUAL(std::string("u1"),
-                             one.choose(ask({}), upstreams, start)->upstream.text);
+                             one.select(ask({}), upstreams, start)->upstream.text);
         const std::set<UpstreamId> tried{UpstreamId("u1")};
-        ChoiceAsk again = ask({});
+        SelectionQuery again = ask({});
         again.tried = &tried;
-        CPPUNIT_ASSERT(!one.choose(again, upstreams, start));
+        CPPUNIT_ASSERT(!one.select(again, upstreams, start));
     }
 
     void failingUpstreamIsAvoidedAndTriedAgain()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1);
-        const UpstreamId home = one.choose(ask(parts), upstreams, start)->upstream;
+        const UpstreamId home = one.select(ask(parts), upstreams, start)->upstream;
         for (unsigned n = 0; n < Circuit::failuresToOpen; ++n)
             one.failed(home, start);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, start)->upstream != home);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, start + seconds(1))->upstream == home);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream != home);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start + seconds(1))->upstream == home);
     }
 
     void allFailingIsBetterThanNone()
     {
         const UpstreamDirectory upstreams = directory(2);
-        UpstreamBook one = book();
-        one.choose(ask({}), upstreams, start); // makes the records
+        UpstreamTable one = book();
+        one.select(ask({}), upstreams, start); // makes the records
         for (unsigned n = 0; n < Circuit::failuresToOpen; ++n) {
             one.failed(UpstreamId("u0"), start);
             one.failed(UpstreamId("u1"), start);
         }
-        CPPUNIT_ASSERT(one.choose(ask({}), upstreams, start));
+        CPPUNIT_ASSERT(one.select(ask({}), upstreams, start));
     }
 
     void loadOfPeersCountsWhileItIsFresh()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1);
-        const UpstreamId home = one.choose(ask(parts), upstreams, start)->upstream;
+        const UpstreamId home = one.select(ask(parts), upstreams, start)->upstream;
         one.setPeerLoad(VmName("peer"), {{{home, {10, 400'000, 0}}}}, start);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, start)->upstream != home);
-        const Time later = start + UpstreamBook::peerLoadAge + milliseconds(1);
-        CPPUNIT_ASSERT(one.choose(ask(parts), upstreams, later)->upstream == home);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.peersHeard()); // what is too old is forgotten
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream != home);
+        const Time later = start + UpstreamTable::peerLoadLifetime + milliseconds(1);
+        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, later)->upstream == home);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.peerCount()); // what is too old is forgotten
         one.setPeerLoad(VmName("other"), {}, later);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.peersHeard());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.peerCount());
     }
 
     static std::vector<PromptPart> shortPrompt(std::uint64_t subject)
@@ -202,17 +202,17 @@
     void shortPromptsKeepToQuietEngines()
     {
         const UpstreamDirectory upstreams = directory(10);
-        UpstreamBook one = book("z0");
-        UpstreamBook two = book("z1");
+        UpstreamTable one = book("z0");
+        UpstreamTable two = book("z1");
         std::set<UpstreamId> forShort;
         std::set<UpstreamId> forLong;
         for (std::uint64_t subject = 1; subject <= 100; ++subject) {
             const auto brief = shortPrompt(subject);
             const auto parts = prompt(subject);
-            forShort.insert(one.choose(ask(brief), upstreams, start)->upstream);
-            forShort.insert(two.choose(ask(brief), upstreams, start)->upstream);
-            forLong.insert(one.choose(ask(parts), upstreams, start)->upstream);
-            forLong.insert(two.choose(ask(parts), upstreams, start)->upstream);
+            forShort.insert(one.select(ask(brief), upstreams, start)->upstream);
+            forShort.insert(two.select(ask(brief), upstreams, start)->upstream);
+            forLong.insert(one.select(ask(parts), upstreams, start)->upstream);
+            forLong.insert(two.select(ask(parts), upstreams, start)->upstream);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, forShort.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, forLong.size());
@@ -222,17 +222,17 @@
     void loadedQuietEngineSpills()
     {
         const UpstreamDirectory upstreams = directory(10);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto brief = shortPrompt(1);
-        const auto quiet = one.choose(ask(brief), upstreams, start);
+        const auto quiet = one.select(ask(brief), upstreams, start);
         for (int n = 0; n < 200; ++n)
             one.sent(quiet->upstream, ask(brief), *quiet, start);
-        CPPUNIT_ASSERT(one.choose(ask(brief), upstreams, start)->upstream != quiet->upstream);
+        CPPUNIT_ASSERT(one.select(ask(brief), upstreams, start)->upstream != quiet->upstream);
     }
 
-    static UpstreamBook bookOf(UpstreamBook::Strategy strategy)
+    static UpstreamTable bookOf(UpstreamTable::Strategy strategy)
     {
-        UpstreamBook::Costs costs;
+        UpstreamTable::Costs costs;
         costs.strategy = strategy;
         return {ZoneName("z0"), costs};
     }
@@ -241,15 +241,15 @@
     {
         const UpstreamDirectory upstreams = directory(9);
         const auto parts = prompt(1);
-        UpstreamBook home = bookOf(UpstreamBook::Strategy::HomeOnly);
-        UpstreamBook least = bookOf(UpstreamBook::Strategy::LeastLoaded);
-        UpstreamBook inTurn = bookOf(UpstreamBook::Strategy::RoundRobin);
+        UpstreamTable home = bookOf(UpstreamTable::Strategy::AffinityOnly);
+        UpstreamTable least = bookOf(UpstreamTable::Strategy::LeastLoaded);
+        UpstreamTable inTurn = bookOf(UpstreamTable::Strategy::RoundRobin);
         std::set<UpstreamId> byHome;
         std::set<UpstreamId> byLoad;
         std::set<UpstreamId> byTurn;
-        const auto place = [&](UpstreamBook *one, std::set<UpstreamId> *used) {
-            Choice choice = *one->choose(ask(parts), upstreams, start);
-            choice.unreadTokens = 400'000;
+        const auto place = [&](UpstreamTable *one, std::set<UpstreamId> *used) {
+            Selection choice = *one->select(ask(parts), upstreams, start);
+            choice.prefillTokens = 400'000;
             one->sent(choice.upstream, ask(parts), choice, start);
             used->insert(choice.upstream);
         };
@@ -267,10 +267,10 @@
     {
         const UpstreamDirectory upstreams = directory(30); // three quiet ones
         for (const char *zone : {"z0", "z1", "z2"}) {
-            UpstreamBook one = book(zone);
+            UpstreamTable one = book(zone);
             for (std::uint64_t subject = 1; subject <= 50; ++subject) {
                 const auto brief = shortPrompt(subject);
-                const auto choice = one.choose(ask(brief), upstreams, start);
+                const auto choice = one.select(ask(brief), upstreams, start);
                 const UpstreamEntry &taken = *upstreams.find(choice->upstream);
                 CPPUNIT_ASSERT_EQUAL(std::string(zone), taken.zone.text);
             }
@@ -286,18 +286,18 @@
     void promptFollowsWhatPeersTold()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook teller = book();
-        UpstreamBook hearer = book();
+        UpstreamTable teller = book();
+        UpstreamTable hearer = book();
         const auto parts = prompt(1);
-        Choice choice = *hearer.choose(ask(parts), upstreams, start);
+        Selection choice = *hearer.select(ask(parts), upstreams, start);
         const UpstreamId home = choice.upstream;
         choice.upstream = otherThan(home);
         teller.sent(choice.upstream, ask(parts), choice, start);
-        const std::vector<PromptNote> notes = teller.freshNotes(start);
+        const std::vector<PromptHint> notes = teller.recentHints(start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, notes.size()); // the last part is no one else's
-        hearer.learn(notes, start);
+        hearer.addHints(notes, start);
         CPPUNIT_ASSERT_EQUAL(choice.upstream.text,
-                             hearer.choose(ask(parts), upstreams, start)->upstream.text);
+                             hearer.select(ask(parts), upstreams, start)->upstream.text);
     }
 
     static ServiceInfo fetchable()
@@ -311,57 +311,57 @@
     /// Until the holder below has read the prompt, at the pace that is believed at first.
     static Duration readTime()
     {
-        return fromSeconds(70'000 / UpstreamBook::Costs().tokensPerMs / 1000.0);
+        return fromSeconds(70'000 / UpstreamTable::Costs().tokensPerMs / 1000.0);
     }
 
     /// The choice for a prompt whose holder is behind by ten seconds and more since it read it.
-    static Choice choiceBesideLoadedHolder(Duration sinceHeld, UpstreamId *holder)
+    static Selection choiceBesideLoadedHolder(Duration sinceHeld, UpstreamId *holder)
     {
         const UpstreamDirectory upstreams = directory(9);
         const ServiceInfo info = fetchable();
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1);
-        ChoiceAsk wanted = ask(parts);
-        wanted.info = &info;
-        Choice choice = *one.choose(wanted, upstreams, start);
+        SelectionQuery wanted = ask(parts);
+        wanted.serviceInfo = &info;
+        Selection choice = *one.select(wanted, upstreams, start);
         *holder = choice.upstream;
-        choice.unreadTokens = 400'000;
-        choice.aheadTokens = 70'000;
+        choice.prefillTokens = 400'000;
+        choice.tokensToFirstEvent = 70'000;
         one.sent(choice.upstream, wanted, choice, start);
-        return *one.choose(wanted, upstreams, start + sinceHeld);
+        return *one.select(wanted, upstreams, start + sinceHeld);
     }
 
     void spilledPromptIsFetchedFromItsHolder()
     {
         UpstreamId holder;
-        const Choice spilled = choiceBesideLoadedHolder(readTime() + milliseconds(1), &holder);
+        const Selection spilled = choiceBesideLoadedHolder(readTime() + milliseconds(1), &holder);
         CPPUNIT_ASSERT(spilled.upstream != holder);
         CPPUNIT_ASSERT(spilled.fetchFrom == holder);
-        CPPUNIT_ASSERT_EQUAL(TokenCount{3'000}, spilled.unreadTokens);
+        CPPUNIT_ASSERT_EQUAL(TokenCount{3'000}, spilled.prefillTokens);
     }
 
     void nothingIsFetchedBeforeItWasRead()
     {
         UpstreamId holder;
-        const Choice spilled = choiceBesideLoadedHolder(readTime() - milliseconds(1), &holder);
+        const Selection spilled = choiceBesideLoadedHolder(readTime() - milliseconds(1), &holder);
         CPPUNIT_ASSERT(spilled.upstream != holder);
         CPPUNIT_ASSERT(!spilled.fetchFrom);
-        CPPUNIT_ASSERT_EQUAL(TokenCount{16'000}, spilled.unreadTokens);
+        CPPUNIT_ASSERT_EQUAL(TokenCount{16'000}, spilled.prefillTokens);
     }
 
     void coldPromptCountsAsUnread()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1);
-        const Choice cold = *one.choose(ask(parts), upstreams, start);
-        CPPUNIT_ASSERT(cold.isHome);
-        CPPUNIT_ASSERT_EQUAL(TokenCount{16'000}, cold.unreadTokens);
+        const Selection cold = *one.select(ask(parts), upstreams, start);
+        CPPUNIT_ASSERT(cold.isPreferred);
+        CPPUNIT_ASSERT_EQUAL(TokenCount{16'000}, cold.prefillTokens);
         one.sent(cold.upstream, ask(parts), cold, start);
         const std::vector<PromptPart> next{parts.front(), {4711, 2'000}};
-        const Choice warm = *one.choose(ask(next), upstreams, start);
+        const Selection warm = *one.select(ask(next), upstreams, start);
         CPPUNIT_ASSERT_EQUAL(cold.upstream.text, warm.upstream.text);
-        CPPUNIT_ASSERT_EQUAL(TokenCount{2'000}, warm.unreadTokens);
+        CPPUNIT_ASSERT_EQUAL(TokenCount{2'000}, warm.prefillTokens);
     }
 
     /// Prompts of 444 subjects behind one of four first parts, on 55 engines: no engine stands idle
@@ -369,16 +369,16 @@
     void fewFirstPartsDoNotDrawAllPrompts()
     {
         const UpstreamDirectory upstreams = directory(55);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         std::map<UpstreamId, unsigned> placed;
         for (std::uint64_t n = 0; n < 2000; ++n) {
             const std::uint64_t subject = n * 7919 % 444;
             const std::vector<PromptPart> parts{
                 {subject % 4 + 1, 2520}, {subject + 100, 3780}, {n + 1000, 2890}};
-            const Choice choice = *one.choose(ask(parts), upstreams, start);
+            const Selection choice = *one.select(ask(parts), upstreams, start);
             one.sent(choice.upstream, ask(parts), choice, start);
-            one.firstEvent(choice.upstream, choice.unreadTokens);
-            one.ended(choice.upstream, 0, choice.isBrief);
+            one.firstEvent(choice.upstream, choice.prefillTokens);
+            one.ended(choice.upstream, 0, choice.isShortPrompt);
             ++placed[choice.upstream];
         }
         const auto most = std::ranges::max(placed | std::views::values);
@@ -396,12 +396,12 @@
             changes.back().entry.slots = 32;
             changes.back().entry.revision = 2;
         }
-        upstreams.apply(changes, 2, start);
-        UpstreamBook one = book();
+        upstreams.applyChanges(changes, 2, start);
+        UpstreamTable one = book();
         Time now = start;
         for (std::uint64_t n = 0; n < 400; ++n) {
             const auto parts = shortPrompt(n * 7919 % 939 + 1);
-            const Choice choice = *one.choose(ask(parts), upstreams, now);
+            const Selection choice = *one.select(ask(parts), upstreams, now);
             one.sent(choice.upstream, ask(parts), choice, now);
             now += milliseconds(5);
         }
@@ -415,73 +415,73 @@
     void manyChunksAreNotReadBesideManyStreams()
     {
         const UpstreamDirectory upstreams = directory(20);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         std::set<UpstreamId> quiet;
         for (std::uint64_t subject = 1; subject <= 100; ++subject) {
             const std::vector<PromptPart> parts{{subject, 200}, {subject + 1000, 400}};
-            const Choice choice = *one.choose(ask(parts), upstreams, start);
+            const Selection choice = *one.select(ask(parts), upstreams, start);
             one.sent(choice.upstream, ask(parts), choice, start);
-            one.firstEvent(choice.upstream, choice.unreadTokens);
+            one.firstEvent(choice.upstream, choice.prefillTokens);
             quiet.insert(choice.upstream);
         }
         std::map<UpstreamId, TokenCount> unread;
         for (std::uint64_t n = 0; n < 6; ++n) {
             const std::vector<PromptPart> parts{{7777, 1500}, {n + 5000, 1200}};
-            const Choice choice = *one.choose(ask(parts), upstreams, start);
+            const Selection choice = *one.select(ask(parts), upstreams, start);
             one.sent(choice.upstream, ask(parts), choice, start);
-            unread[choice.upstream] += choice.unreadTokens;
+            unread[choice.upstream] += choice.prefillTokens;
         }
         for (const TokenCount tokens : unread | std::views::values)
-            CPPUNIT_ASSERT(tokens <= 3 * UpstreamBook::Costs().shortPrompt / 2);
+            CPPUNIT_ASSERT(tokens <= 3 * UpstreamTable::Costs().maxShortPromptTokens / 2);
     }
 
     void notesAreToldForAWhileAndBounded()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamBook one = book();
-        for (std::uint64_t subject = 1; subject <= 2 * UpstreamBook::mostNotes; ++subject) {
+        UpstreamTable one = book();
+        for (std::uint64_t subject = 1; subject <= 2 * UpstreamTable::maxHints; ++subject) {
             const auto parts = prompt(subject);
-            const Choice choice = *one.choose(ask(parts), upstreams, start);
+            const Selection choice = *one.select(ask(parts), upstreams, start);
             one.sent(choice.upstream, ask(parts), choice, start);
         }
-        CPPUNIT_ASSERT_EQUAL(UpstreamBook::mostNotes, one.freshNotes(start).size());
-        CPPUNIT_ASSERT_EQUAL(UpstreamBook::mostNotes,
-                             one.freshNotes(start + UpstreamBook::noteSpan).size());
-        const Time later = start + UpstreamBook::noteSpan + milliseconds(1);
-        CPPUNIT_ASSERT(one.freshNotes(later).empty());
+        CPPUNIT_ASSERT_EQUAL(UpstreamTable::maxHints, one.recentHints(start).size());
+        CPPUNIT_ASSERT_EQUAL(UpstreamTable::maxHints,
+                             one.recentHints(start + UpstreamTable::hintWindow).size());
+        const Time later = start + UpstreamTable::hintWindow + milliseconds(1);
+        CPPUNIT_ASSERT(one.recentHints(later).empty());
     }
 
     void endedCallsLeaveNoLoad()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const auto parts = prompt(1);
-        const auto choice = one.choose(ask(parts), upstreams, start);
+        const auto choice = one.select(ask(parts), upstreams, start);
         one.sent(choice->upstream, ask(parts), *choice, start);
         one.sent(choice->upstream, ask(parts), *choice, start);
         CPPUNIT_ASSERT_EQUAL(2U, one.ownLoad().at(choice->upstream).running);
-        one.firstEvent(choice->upstream, choice->unreadTokens);
-        one.ended(choice->upstream, 0, choice->isBrief);
-        one.ended(choice->upstream, choice->unreadTokens, choice->isBrief);
+        one.firstEvent(choice->upstream, choice->prefillTokens);
+        one.ended(choice->upstream, 0, choice->isShortPrompt);
+        one.ended(choice->upstream, choice->prefillTokens, choice->isShortPrompt);
         CPPUNIT_ASSERT(one.ownLoad().empty());
     }
 
     void loadsOfPeersAddUp()
     {
-        UpstreamBook one = book();
+        UpstreamTable one = book();
         const UpstreamId a("a");
         const UpstreamId b("b");
         one.setPeerLoad(VmName("x"), {{{a, {3, 100, 1}}, {b, {2, 50, 2}}}}, start);
         one.setPeerLoad(VmName("y"), {{{a, {4, 1000, 4}}}}, start, seconds(10));
-        CPPUNIT_ASSERT_EQUAL(7U, one.loadOf(a, start).running);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1100}, one.loadOf(a, start).unreadTokens);
+        CPPUNIT_ASSERT_EQUAL(7U, one.load(a, start).running);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1100}, one.load(a, start).prefillTokens);
         one.setPeerLoad(VmName("x"), {{{a, {1, 10, 0}}}}, start); // its load at b has ended
-        CPPUNIT_ASSERT_EQUAL(5U, one.loadOf(a, start).running);
-        CPPUNIT_ASSERT_EQUAL(4U, one.loadOf(a, start).brief);
-        CPPUNIT_ASSERT_EQUAL(0U, one.loadOf(b, start).running);
-        const Time later = start + UpstreamBook::peerLoadAge + milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(4U, one.loadOf(a, later).running); // x is too old, y counts longer
-        CPPUNIT_ASSERT_EQUAL(0U, one.loadOf(a, start + seconds(11)).running);
+        CPPUNIT_ASSERT_EQUAL(5U, one.load(a, start).running);
+        CPPUNIT_ASSERT_EQUAL(4U, one.load(a, start).shortPrompts);
+        CPPUNIT_ASSERT_EQUAL(0U, one.load(b, start).running);
+        const Time later = start + UpstreamTable::peerLoadLifetime + milliseconds(1);
+        CPPUNIT_ASSERT_EQUAL(4U, one.load(a, later).running); // x is too old, y counts longer
+        CPPUNIT_ASSERT_EQUAL(0U, one.load(a, start + seconds(11)).running);
     }
 };
 
--- a/src/libreachlead/usageduty.cpp
+++ b/src/libreachlead/usagereporter.cpp
@@ -1,27 +1,27 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/usageduty.h>
+#include <reachlead/usagereporter.h>
 
 #include <algorithm>
 
 namespace reachlead {
 
-WindowNumber UsageDuty::wanted(WindowNumber due) const
+WindowNumber UsageReporter::nextWindow(WindowNumber due) const
 {
     const WindowNumber after = m_known ? m_known->record.window + 1 : 0;
-    return std::max({after, m_skipped + 1, due - mostBehind});
+    return std::max({after, m_skipped + 1, due - maxWindowsBehind});
 }
 
-void UsageDuty::skip(WindowNumber window)
+void UsageReporter::skip(WindowNumber window)
 {
     m_skipped = std::max(m_skipped, window);
 }
 
 /// The holder has not reported for a while: what it fixed is sent again, then the rest.
-UsageAction UsageDuty::takeOver(const UsageView &view, UsageAction action) const
+UsageAction UsageReporter::takeOver(const UsageView &view, UsageAction action) const
 {
-    if (m_readAt + readAge < view.now) {
+    if (m_readAt + maxReadAge < view.now) {
         action.step = UsageStep::Read;
         return action;
     }
@@ -33,15 +33,15 @@
     return action;
 }
 
-UsageAction UsageDuty::next(const UsageView &view) const
+UsageAction UsageReporter::next(const UsageView &view) const
 {
     UsageAction action;
     if (!m_isKnown) {
         action.step = UsageStep::Read;
         return action;
     }
-    const WindowNumber window = wanted(view.due);
-    const bool isDue = window <= view.due;
+    const WindowNumber window = nextWindow(view.dueWindow);
+    const bool isDue = window <= view.dueWindow;
     if (m_known) {
         action.record = m_known->record;
         action.revision = m_known->revision;
@@ -51,11 +51,11 @@
     if (m_known && !isHolder())
         return isDue && view.hasCalls ? takeOver(view, std::move(action)) : action;
     if (m_known && !m_isSent) {
-        const bool maySend = m_writtenAt && view.now < *m_writtenAt + sendSpan();
+        const bool maySend = m_writtenAt && view.now < *m_writtenAt + sendTimeout();
         action.step = maySend ? UsageStep::Send : UsageStep::Write;
         if (maySend) {
             action.record = m_known->record;
-            action.limit = *m_writtenAt + sendSpan() - view.now;
+            action.limit = *m_writtenAt + sendTimeout() - view.now;
         }
         return action;
     }
@@ -73,7 +73,7 @@
     return action;
 }
 
-void UsageDuty::wasRead(const std::optional<StoredUsage> &stored, Time now)
+void UsageReporter::onRead(const std::optional<StoredUsage> &stored, Time now)
 {
     const bool isSame = m_known && stored && m_known->revision == stored->revision;
     m_isKnown = true;
@@ -86,7 +86,7 @@
     m_isSent = false;
 }
 
-void UsageDuty::wasWritten(const UsageRecord &record, std::uint64_t revision, Time began)
+void UsageReporter::onWritten(const UsageRecord &record, std::uint64_t revision, Time began)
 {
     m_known = {record, revision};
     m_isKnown = true;
@@ -96,7 +96,7 @@
     m_isSent = false;
 }
 
-void UsageDuty::wasSent(const UsageRecord &record)
+void UsageReporter::onSent(const UsageRecord &record)
 {
     if (m_known && m_known->record == record)
         m_isSent = true;
--- a/src/libreachlead/usageduty_test.cpp
+++ b/src/libreachlead/usagereporter_test.cpp
@@ -12,7 +12,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include <reachlead/usageduty.h>
+#include <reachlead/usagereporter.h>
 
 namespace reachlead {
 
@@ -58,7 +58,7 @@
     };
 
     Time now{};
-    std::vector<UsageDuty> duties;
+    std::vector<UsageReporter> duties;
     std::optional<UsageRecord> stored;
     std::uint64_t revision = 0;
     std::vector<LateWrite> lateWrites;
@@ -77,7 +77,7 @@
             duties.emplace_back(lifeOf(n, 1), leaseSpan);
     }
 
-    static GatewayLife lifeOf(std::uint64_t gateway, std::uint64_t incarnation)
+    static GatewayIncarnation lifeOf(std::uint64_t gateway, std::uint64_t incarnation)
     {
         return {VmName(std::string(1, static_cast<char>('a' + gateway))), Incarnation{incarnation}};
     }
@@ -88,7 +88,7 @@
         const auto ticks = static_cast<std::uint32_t>((now.time_since_epoch()) / tick);
         UsageView view;
         view.now = now;
-        view.due = 1 + ticks / 2;
+        view.dueWindow = 1 + ticks / 2;
         view.isComplete = true;
         view.hasCalls = true;
         view.counts = {
@@ -137,7 +137,7 @@
             std::optional<StoredUsage> read;
             if (stored)
                 read = StoredUsage{*stored, revision};
-            next.duties[gateway].wasRead(read, now);
+            next.duties[gateway].onRead(read, now);
             take(std::move(next));
         }
         for (const Fate fate : fates) {
@@ -153,7 +153,7 @@
     World written(std::size_t gateway, const UsageAction &action, Fate fate) const
     {
         World next = *this;
-        UsageDuty &duty = next.duties[gateway];
+        UsageReporter &duty = next.duties[gateway];
         if (fate != Fate::Answered)
             --next.faultsLeft;
         const bool isNow = fate == Fate::Answered || fate == Fate::Unanswered;
@@ -161,9 +161,9 @@
         if (fate == Fate::Late)
             next.lateWrites.push_back({action.record, action.revision});
         if (isDone && fate == Fate::Answered)
-            duty.wasWritten(action.record, next.revision, now);
+            duty.onWritten(action.record, next.revision, now);
         else
-            duty.isUnsure();
+            duty.invalidate();
         return next;
     }
 
@@ -177,7 +177,7 @@
         if (fate == Fate::Late)
             next.lateReports.push_back({action.record, now + action.limit});
         if (fate == Fate::Answered)
-            next.duties[gateway].wasSent(action.record);
+            next.duties[gateway].onSent(action.record);
         return next;
     }
 
@@ -204,7 +204,7 @@
                 World next = *this;
                 --next.faultsLeft;
                 next.duties[n] =
-                    UsageDuty(lifeOf(n, 2 + static_cast<std::uint64_t>(faultsLeft)), leaseSpan);
+                    UsageReporter(lifeOf(n, 2 + static_cast<std::uint64_t>(faultsLeft)), leaseSpan);
                 take(std::move(next));
             }
         }
@@ -248,9 +248,9 @@
 } // namespace
 
 /// Who may report usage when.
-class UsageDutyTest : public CppUnit::TestFixture
+class UsageReporterTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(UsageDutyTest);
+    CPPUNIT_TEST_SUITE(UsageReporterTest);
     CPPUNIT_TEST(holderFixesBeforeItSends);
     CPPUNIT_TEST(writeWithoutAnswerIsReadBack);
     CPPUNIT_TEST(successorSendsWhatWasFixed);
@@ -264,13 +264,13 @@
 
     static constexpr Time start{seconds(100)};
 
-    static GatewayLife life(const std::string &vm) { return {VmName(vm), Incarnation{1}}; }
+    static GatewayIncarnation life(const std::string &vm) { return {VmName(vm), Incarnation{1}}; }
 
     static UsageView view(Time now, WindowNumber due, std::uint32_t calls)
     {
         UsageView made;
         made.now = now;
-        made.due = due;
+        made.dueWindow = due;
         made.isComplete = true;
         made.hasCalls = calls > 0;
         if (calls > 0)
@@ -279,30 +279,30 @@
     }
 
     /// A duty that has written window 1 with 5 calls at `start`, as the first holder.
-    static UsageDuty holder()
+    static UsageReporter holder()
     {
-        UsageDuty duty(life("a"), seconds(3));
-        duty.wasRead(std::nullopt, start);
+        UsageReporter duty(life("a"), seconds(3));
+        duty.onRead(std::nullopt, start);
         const UsageAction action = duty.next(view(start, 1, 5));
-        duty.wasWritten(action.record, 11, start);
+        duty.onWritten(action.record, 11, start);
         return duty;
     }
 
     void holderFixesBeforeItSends()
     {
-        UsageDuty duty(life("a"), seconds(3));
+        UsageReporter duty(life("a"), seconds(3));
         CPPUNIT_ASSERT(duty.next(view(start, 1, 5)).step == UsageStep::Read);
-        duty.wasRead(std::nullopt, start);
+        duty.onRead(std::nullopt, start);
         const UsageAction fix = duty.next(view(start, 1, 5));
         CPPUNIT_ASSERT(fix.step == UsageStep::Write);
         CPPUNIT_ASSERT(!fix.revision);
-        duty.wasWritten(fix.record, 11, start);
+        duty.onWritten(fix.record, 11, start);
         const UsageAction send = duty.next(view(start, 1, 9));
         CPPUNIT_ASSERT(send.step == UsageStep::Send);
         CPPUNIT_ASSERT_EQUAL(5U, send.record.counts.at(AccountName("t")));
-        CPPUNIT_ASSERT(send.limit == duty.sendSpan());
-        duty.wasSent(send.record);
-        CPPUNIT_ASSERT(duty.next(view(start, 1, 9)).step == UsageStep::Rest);
+        CPPUNIT_ASSERT(send.limit == duty.sendTimeout());
+        duty.onSent(send.record);
+        CPPUNIT_ASSERT(duty.next(view(start, 1, 9)).step == UsageStep::Idle);
         const UsageAction second = duty.next(view(start + seconds(5), 2, 7));
         CPPUNIT_ASSERT(second.step == UsageStep::Write);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, *second.revision);
@@ -311,12 +311,12 @@
 
     void writeWithoutAnswerIsReadBack()
     {
-        UsageDuty duty(life("a"), seconds(3));
-        duty.wasRead(std::nullopt, start);
+        UsageReporter duty(life("a"), seconds(3));
+        duty.onRead(std::nullopt, start);
         const UsageAction fix = duty.next(view(start, 1, 5));
-        duty.isUnsure();
+        duty.invalidate();
         CPPUNIT_ASSERT(duty.next(view(start, 1, 6)).step == UsageStep::Read);
-        duty.wasRead(StoredUsage{fix.record, 11}, start + seconds(1));
+        duty.onRead(StoredUsage{fix.record, 11}, start + seconds(1));
         const UsageAction renew = duty.next(view(start + seconds(1), 1, 6));
         CPPUNIT_ASSERT(renew.step == UsageStep::Write);
         CPPUNIT_ASSERT(renew.record.counts == fix.record.counts);
@@ -324,52 +324,52 @@
 
     void successorSendsWhatWasFixed()
     {
-        const UsageDuty first = holder();
-        UsageDuty next(life("b"), seconds(3));
-        next.wasRead(first.known(), start + seconds(1));
+        const UsageReporter first = holder();
+        UsageReporter next(life("b"), seconds(3));
+        next.onRead(first.lastKnown(), start + seconds(1));
         CPPUNIT_ASSERT(next.next(view(start + seconds(2), 2, 8)).step == UsageStep::Read);
-        next.wasRead(first.known(), start + seconds(4));
+        next.onRead(first.lastKnown(), start + seconds(4));
         const UsageAction take = next.next(view(start + seconds(4), 2, 8));
         CPPUNIT_ASSERT(take.step == UsageStep::Write);
         CPPUNIT_ASSERT(take.isTakeover);
         CPPUNIT_ASSERT_EQUAL(FencingToken{2}, take.record.token);
         CPPUNIT_ASSERT_EQUAL(WindowNumber{1}, take.record.window);
         CPPUNIT_ASSERT_EQUAL(5U, take.record.counts.at(AccountName("t")));
-        next.wasWritten(take.record, 12, start + seconds(4));
+        next.onWritten(take.record, 12, start + seconds(4));
         const UsageAction send = next.next(view(start + seconds(4), 2, 8));
         CPPUNIT_ASSERT(send.step == UsageStep::Send);
-        next.wasSent(send.record);
+        next.onSent(send.record);
         CPPUNIT_ASSERT_EQUAL(WindowNumber{2},
                              next.next(view(start + seconds(4), 2, 8)).record.window);
     }
 
     void holderThatWasPausedDoesNotSend()
     {
-        const UsageDuty duty = holder();
-        const Time late = start + duty.sendSpan();
+        const UsageReporter duty = holder();
+        const Time late = start + duty.sendTimeout();
         CPPUNIT_ASSERT(duty.next(view(late, 1, 5)).step == UsageStep::Write);
     }
 
     void emptyWindowsArePassedOver()
     {
-        UsageDuty duty(life("a"), seconds(3));
-        duty.wasRead(std::nullopt, start);
+        UsageReporter duty(life("a"), seconds(3));
+        duty.onRead(std::nullopt, start);
         UsageView early = view(start, 1, 0);
         early.isComplete = false;
-        CPPUNIT_ASSERT(duty.next(early).step == UsageStep::Rest);
+        CPPUNIT_ASSERT(duty.next(early).step == UsageStep::Idle);
         const UsageAction action = duty.next(view(start, 1, 0));
         CPPUNIT_ASSERT(action.step == UsageStep::Skip);
         duty.skip(action.record.window);
-        CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, duty.wanted(2));
+        CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, duty.nextWindow(2));
     }
 
     /// It would leave out the window when it takes over.
     void standbyThatKnowsOfNoCallsSkipsNothing()
     {
-        UsageDuty next(life("b"), seconds(3));
-        next.wasRead(holder().known(), start);
-        CPPUNIT_ASSERT(next.next(view(start + seconds(4), 2, 0)).step == UsageStep::Rest);
-        CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, next.wanted(2));
+        UsageReporter next(life("b"), seconds(3));
+        next.onRead(holder().lastKnown(), start);
+        CPPUNIT_ASSERT(next.next(view(start + seconds(4), 2, 0)).step == UsageStep::Idle);
+        CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, next.nextWindow(2));
         UsageView later = view(start + seconds(4), 3, 0);
         later.hasCalls = true; // of a window behind an empty one
         CPPUNIT_ASSERT(next.next(later).step == UsageStep::Read);
@@ -377,8 +377,9 @@
 
     void oldWindowsAreNotMadeUpFor()
     {
-        const UsageDuty duty = holder();
-        CPPUNIT_ASSERT_EQUAL(WindowNumber{100 - UsageDuty::mostBehind}, duty.wanted(100));
+        const UsageReporter duty = holder();
+        CPPUNIT_ASSERT_EQUAL(WindowNumber{100 - UsageReporter::maxWindowsBehind},
+                             duty.nextWindow(100));
     }
 
     /// Three gateways that all think that it is their turn; each write and report answered, not
@@ -402,6 +403,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(UsageDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UsageReporterTest);
 
 } // namespace reachlead
--- a/src/libreachlead/usagebook.cpp
+++ b/src/libreachlead/usagetable.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/usagebook.h>
+#include <reachlead/usagetable.h>
 
 #include <algorithm>
 #include <chrono>
@@ -18,26 +18,26 @@
 
 } // namespace
 
-WindowNumber UsageBook::windowOf(UnixMillis at) const
+WindowNumber UsageTable::windowAt(UnixMillis at) const
 {
     return at / millisOf(m_span);
 }
 
-UnixMillis UsageBook::endOf(WindowNumber window) const
+UnixMillis UsageTable::windowEnd(WindowNumber window) const
 {
     return (window + 1) * millisOf(m_span);
 }
 
-void UsageBook::began(const AccountName &account, UnixMillis at)
+void UsageTable::countCall(const AccountName &account, UnixMillis at)
 {
-    ++m_windows[windowOf(at)][m_self].counts[account];
+    ++m_windows[windowAt(at)][m_self].counts[account];
 }
 
-void UsageBook::learn(const WindowUsage &told)
+void UsageTable::merge(const WindowUsage &told)
 {
-    if (told.life == m_self)
+    if (told.gateway == m_self)
         return;
-    Kept &known = m_windows[told.window][told.life];
+    Kept &known = m_windows[told.window][told.gateway];
     known.isFinal = known.isFinal || told.isFinal;
     for (const auto &[account, n] : told.counts) {
         std::uint32_t &count = known.counts[account];
@@ -45,9 +45,9 @@
     }
 }
 
-WindowUsage UsageBook::own(WindowNumber window, UnixMillis now) const
+WindowUsage UsageTable::ownUsage(WindowNumber window, UnixMillis now) const
 {
-    WindowUsage told{m_self, window, endOf(window) + millisOf(settleTime) <= now, {}};
+    WindowUsage told{m_self, window, windowEnd(window) + millisOf(settleTime) <= now, {}};
     if (const auto it = m_windows.find(window); it != m_windows.end()) {
         if (const auto own = it->second.find(m_self); own != it->second.end())
             told.counts = own->second.counts;
@@ -55,8 +55,8 @@
     return told;
 }
 
-std::vector<WindowUsage> UsageBook::ofEnded(const std::set<GatewayLife> &live,
-                                            WindowNumber window) const
+std::vector<WindowUsage> UsageTable::exitedUsage(const std::set<GatewayIncarnation> &live,
+                                                 WindowNumber window) const
 {
     std::vector<WindowUsage> ended;
     const auto it = m_windows.find(window);
@@ -69,7 +69,7 @@
     return ended;
 }
 
-UsageCounts UsageBook::total(WindowNumber window) const
+UsageCounts UsageTable::total(WindowNumber window) const
 {
     UsageCounts sum;
     const auto it = m_windows.find(window);
@@ -82,7 +82,7 @@
     return sum;
 }
 
-bool UsageBook::isFinal(const GatewayLife &life, WindowNumber window) const
+bool UsageTable::isFinal(const GatewayIncarnation &life, WindowNumber window) const
 {
     const auto it = m_windows.find(window);
     if (it == m_windows.end())
@@ -91,7 +91,7 @@
     return kept != it->second.end() && kept->second.isFinal;
 }
 
-void UsageBook::dropBefore(WindowNumber window)
+void UsageTable::dropBefore(WindowNumber window)
 {
     m_windows.erase(m_windows.begin(), m_windows.lower_bound(window));
 }
--- a/src/libreachlead/watchduty.cpp
+++ b/src/libreachlead/watcherelection.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include <reachlead/watchduty.h>
+#include <reachlead/watcherelection.h>
 
 #include <algorithm>
 #include <iterator>
@@ -20,14 +20,15 @@
 
 } // namespace
 
-std::size_t rankAmong(const VmName &self, const std::set<VmName> &others)
+std::size_t rendezvousPosition(const VmName &self, const std::set<VmName> &others)
 {
     const std::uint64_t own = rankOf(self);
     return static_cast<std::size_t>(
         std::ranges::count_if(others, [&](const VmName &vm) { return rankOf(vm) < own; }));
 }
 
-std::vector<VmName> firstFor(const VmName &self, const std::set<VmName> &others, std::size_t n)
+std::vector<VmName> rendezvousPeers(const VmName &self, const std::set<VmName> &others,
+                                    std::size_t n)
 {
     const std::uint64_t seed = rankOf(self);
     std::vector<std::pair<std::uint64_t, VmName>> ranked;
@@ -41,18 +42,18 @@
     return first;
 }
 
-void WatchDuty::vouched(Time at)
+void WatcherElection::confirmed(Time at)
 {
     m_vouchedAt = std::max(m_vouchedAt, at);
 }
 
-bool WatchDuty::isOn(const std::set<VmName> &others, Time now) const
+bool WatcherElection::isWatcher(const std::set<VmName> &others, Time now) const
 {
-    const std::size_t rank = rankAmong(m_self, others);
-    const bool isFirst = rank < watchers;
+    const std::size_t rank = rendezvousPosition(m_self, others);
+    const bool isFirst = rank < watcherCount;
     const double part =
         isFirst ? 0.0 : static_cast<double>(rank) / static_cast<double>(others.size());
-    const Duration wait = fromSeconds(toSeconds(m_options.staleLimit) * lastAfter * part);
+    const Duration wait = fromSeconds(toSeconds(m_options.staleLimit) * maxStaggerFraction * part);
     if (isStale(now - wait))
         return true;
     const bool isStarting = now < m_begin + m_options.staleLimit;
--- a/src/objectapi/claimwriter.cpp
+++ b/src/objectapi/claimwriter.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-ClaimWriter::ClaimWriter(Options options, std::function<void(const ClaimEnded &)> onEnded)
+ClaimWriter::ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onEnded)
     : m_options(std::move(options)), m_onEnded(std::move(onEnded)),
       m_book(m_options.target, m_options.tuning, timeOfDay),
       m_platform(std::make_unique<HttpPlatform>(m_options.service, m_options.callLimit,
@@ -69,7 +69,7 @@
         return;
     // A claim that finds no room is refused as not run; a release that finds none leaves its key
     // claimed until it expires.
-    m_options.counters->add(Count::RingFull);
+    m_options.counters->add(Counter::RingFull);
     if (const auto *claim = std::get_if<MakeClaim>(&change))
         m_onEnded({claim->key, ClaimResult::StoreDown});
 }
@@ -89,7 +89,7 @@
 void ClaimWriter::act()
 {
     for (ClaimAction &action : m_book.takeActions()) {
-        if (auto *ended = std::get_if<ClaimEnded>(&action))
+        if (auto *ended = std::get_if<ClaimCompleted>(&action))
             m_onEnded(*ended);
         else if (auto *reading = std::get_if<ReadSlots>(&action))
             asio::co_spawn(m_io, read(std::move(*reading)), asio::detached);
@@ -101,16 +101,16 @@
 asio::awaitable<void> ClaimWriter::read(ReadSlots action)
 {
     const PlatformReply reply = co_await m_platform->list(action.prefix);
-    m_book.answered(action.call, reply, RuntimeClock::now());
+    m_book.replyReceived(action.call, reply, RuntimeClock::now());
     act();
 }
 
 asio::awaitable<void> ClaimWriter::write(WriteSlot action)
 {
-    m_options.counters->add(Count::ClaimWrites);
+    m_options.counters->add(Counter::ClaimWrites);
     const PlatformReply reply =
         co_await m_platform->put(action.key, std::move(action.value), action.expected);
-    m_book.answered(action.call, reply, RuntimeClock::now());
+    m_book.replyReceived(action.call, reply, RuntimeClock::now());
     act();
 }
 
--- a/src/objectapi/claimwriter.h
+++ b/src/objectapi/claimwriter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform thread of an agent: writes the claims that its ClaimBook decides on.
+/// The platform thread of an agent: writes the claims that its ClaimTable decides on.
 
 #pragma once
 
@@ -13,10 +13,10 @@
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
 
-#include <reachlead/claimbook.h>
+#include <reachlead/claimtable.h>
 #include <reachlead/counters.h>
 #include <reachlead/http.h>
-#include <reachlead/ring.h>
+#include <reachlead/ringbuffer.h>
 
 namespace reachlead {
 
@@ -34,7 +34,7 @@
     };
 
     /// \p onEnded is called on the platform thread with the word on each claim.
-    ClaimWriter(Options options, std::function<void(const ClaimEnded &)> onEnded);
+    ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onEnded);
     ~ClaimWriter();
 
     void claim(const MakeClaim &claim);
@@ -54,11 +54,11 @@
     boost::asio::awaitable<void> ticks();
 
     Options m_options;
-    std::function<void(const ClaimEnded &)> m_onEnded;
-    ClaimBook m_book;
+    std::function<void(const ClaimCompleted &)> m_onEnded;
+    ClaimTable m_book;
     std::unique_ptr<Platform> m_platform;
     boost::asio::io_context m_io{1};
-    Ring<Change> m_changes;
+    RingBuffer<Change> m_changes;
     std::thread m_thread;
 };
 
--- a/src/objectapi/follower.cpp
+++ b/src/objectapi/follower.cpp
@@ -70,7 +70,7 @@
     } else {
         for (const PlatformObject &object : reply.objects) {
             const bool newer = m_replica.apply(object);
-            m_options.counters->add(newer ? Count::SettingsApplied : Count::SettingsStale);
+            m_options.counters->add(newer ? Counter::SettingsApplied : Counter::SettingsStale);
         }
     }
     if (m_replica.version() == before && m_replica.policies())
--- a/src/objectapi/httpplatform.cpp
+++ b/src/objectapi/httpplatform.cpp
@@ -25,19 +25,19 @@
     case statusConflict:
         return PlatformStatus::Conflict;
     default:
-        return PlatformStatus::Down;
+        return PlatformStatus::Unavailable;
     }
 }
 
 /// Makes a reply of an HTTP answer; an answer that cannot be read counts as none.
-PlatformReply readReply(const HttpReply &answer)
+PlatformReply readReply(const HttpResponse &answer)
 {
     PlatformReply reply;
     reply.status = statusOf(answer.status);
-    if (reply.status == PlatformStatus::Down)
+    if (reply.status == PlatformStatus::Unavailable)
         reply.reason = fmt::format("HTTP status {}", answer.status);
     else if (!objectsFromJson(answer.body, &reply))
-        reply.status = PlatformStatus::Down;
+        reply.status = PlatformStatus::Unavailable;
     return reply;
 }
 
@@ -45,23 +45,23 @@
 
 Platform::Awaitable<PlatformReply> HttpPlatform::read(std::string path, Duration limit)
 {
-    m_counters->add(Count::PlatformCalls);
-    HttpAsk ask;
+    m_counters->add(Counter::PlatformCalls);
+    HttpRequest ask;
     ask.path = std::move(path);
     PlatformReply reply;
     const auto answer = co_await httpCall(m_service, std::move(ask), limit, &reply.reason);
     if (answer)
         reply = readReply(*answer);
-    if (reply.status == PlatformStatus::Down)
-        m_counters->add(Count::PlatformFailures);
+    if (reply.status == PlatformStatus::Unavailable)
+        m_counters->add(Counter::PlatformFailures);
     co_return reply;
 }
 
 Platform::Awaitable<PlatformReply> HttpPlatform::write(std::string method, std::string key,
                                                        std::string value, ObjectVersion expected)
 {
-    m_counters->add(Count::PlatformCalls);
-    HttpAsk ask;
+    m_counters->add(Counter::PlatformCalls);
+    HttpRequest ask;
     ask.method = std::move(method);
     ask.path = fmt::format("/objects?key={}&expected={}", encodeQuery(key),
                            static_cast<std::uint64_t>(expected));
@@ -73,12 +73,13 @@
     if (answer)
         reply = readReply(*answer);
     else if (progress != CallProgress::NotConnected)
-        reply.status = PlatformStatus::Lost;
-    if (reply.status == PlatformStatus::Down && progress != CallProgress::NotConnected
+        reply.status = PlatformStatus::Indeterminate;
+    if (reply.status == PlatformStatus::Unavailable && progress != CallProgress::NotConnected
         && !(answer && answer->status == 503))
-        reply.status = PlatformStatus::Lost; // only a plain 503 says that nothing was done
-    if (reply.status == PlatformStatus::Down || reply.status == PlatformStatus::Lost)
-        m_counters->add(Count::PlatformFailures);
+        reply.status = PlatformStatus::Indeterminate; // only a plain 503 says that nothing was done
+    if (reply.status == PlatformStatus::Unavailable
+        || reply.status == PlatformStatus::Indeterminate)
+        m_counters->add(Counter::PlatformFailures);
     co_return reply;
 }
 
@@ -114,8 +115,8 @@
 
 Platform::Awaitable<MemberList> HttpPlatform::members()
 {
-    m_counters->add(Count::PlatformCalls);
-    HttpAsk ask;
+    m_counters->add(Counter::PlatformCalls);
+    HttpRequest ask;
     ask.path = "/members";
     std::string reason;
     MemberList list;
@@ -127,7 +128,7 @@
         }
     }
     if (!list.known)
-        m_counters->add(Count::PlatformFailures);
+        m_counters->add(Counter::PlatformFailures);
     co_return list;
 }
 
--- a/src/operators/adminserver.cpp
+++ b/src/operators/adminserver.cpp
@@ -20,7 +20,7 @@
         && CRYPTO_memcmp(expected.data(), got.data(), got.size()) == 0;
 }
 
-HttpReply plain(unsigned status, std::string text)
+HttpResponse plain(unsigned status, std::string text)
 {
     return {status, {{"Content-Type", "text/plain"}}, std::move(text)};
 }
@@ -30,11 +30,11 @@
 AdminServer::AdminServer(Options options, std::map<std::string, Page> pages)
     : m_options(std::move(options)), m_pages(std::move(pages))
 {
-    m_server = std::make_unique<HttpServer>(m_io, m_options.listen,
-                                            [this](HttpAsk ask) -> asio::awaitable<HttpReply> {
-                                                HttpReply reply = answer(ask);
-                                                co_return reply;
-                                            });
+    m_server = std::make_unique<HttpServer>(
+        m_io, m_options.listen, [this](HttpRequest ask) -> asio::awaitable<HttpResponse> {
+            HttpResponse reply = answer(ask);
+            co_return reply;
+        });
     m_port = m_server->port();
     m_thread = std::thread([this] { m_io.run(); });
 }
@@ -45,7 +45,7 @@
     m_thread.join();
 }
 
-AdminRole AdminServer::roleOf(const HttpAsk &ask) const
+AdminRole AdminServer::roleOf(const HttpRequest &ask) const
 {
     constexpr std::string_view scheme = "Bearer ";
     std::string_view key = ask.header("Authorization");
@@ -58,7 +58,7 @@
     return AdminRole::None;
 }
 
-HttpReply AdminServer::answer(const HttpAsk &ask) const
+HttpResponse AdminServer::answer(const HttpRequest &ask) const
 {
     const std::string name = fmt::format("{} {}", ask.method, ask.pathOnly());
     const AdminRole role = roleOf(ask);
--- a/src/operators/adminserver.h
+++ b/src/operators/adminserver.h
@@ -38,7 +38,7 @@
     struct Page
     {
         AdminRole needs = AdminRole::Read;
-        std::function<HttpReply(const HttpAsk &)> serve;
+        std::function<HttpResponse(const HttpRequest &)> serve;
     };
 
     /// Pages are named `METHOD PATH`, as `POST /drain`.
@@ -48,8 +48,8 @@
     std::uint16_t port() const { return m_port; }
 
 private:
-    HttpReply answer(const HttpAsk &ask) const;
-    AdminRole roleOf(const HttpAsk &ask) const;
+    HttpResponse answer(const HttpRequest &ask) const;
+    AdminRole roleOf(const HttpRequest &ask) const;
 
     Options m_options;
     std::map<std::string, Page> m_pages;
--- a/src/operators/readsettings.cpp
+++ b/src/operators/readsettings.cpp
@@ -37,7 +37,7 @@
 std::optional<std::string> readLog(const IniFile &file, std::size_t *level)
 {
     IniReader reader(file, "log");
-    reader.takeWord("level", {"debug", "info", "warn", "error"}, level);
+    reader.takeEnum("level", {"debug", "info", "warn", "error"}, level);
     return reader.finish();
 }
 
--- a/src/peer/agentlink.cpp
+++ b/src/peer/agentlink.cpp
@@ -88,7 +88,7 @@
     std::string reason;
     const std::optional<ToRouter> message = decodeToRouter(payload, &reason);
     if (!message) {
-        m_context.counters->add(Count::HostileFrames);
+        m_context.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Warn, "bad-frame").with("agent", m_member.vm.text).with("reason", reason);
         return false;
     }
@@ -130,7 +130,7 @@
     if (welcome.version != protocolVersion || welcome.vm != m_member.vm)
         return false;
     if (!m_context.keys->keys().verify(welcomeText(m_nonce, welcome), welcome.proof)) {
-        m_context.counters->add(Count::HostileFrames);
+        m_context.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Error, "agent-not-of-the-fleet").with("agent", m_member.vm.text);
         return false;
     }
--- a/src/peer/beatbudget.cpp
+++ b/src/peer/beatbudget.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
@@ -42,15 +42,16 @@
     return std::min(all, std::max(fewestTargets, affordable));
 }
 
-Duration BeatBudget::noteSpan(std::size_t targets, std::size_t all) const
+Duration BeatBudget::hintWindow(std::size_t targets, std::size_t all) const
 {
     const Duration round = interval * beatsInRound(targets, all);
-    return std::min<Duration>(UpstreamBook::noteSpan, round + interval);
+    return std::min<Duration>(UpstreamTable::hintWindow, round + interval);
 }
 
 Duration BeatBudget::loadAge(std::size_t targets, std::size_t all) const
 {
-    return std::max<Duration>(UpstreamBook::peerLoadAge, 2 * interval * beatsInRound(targets, all));
+    return std::max<Duration>(UpstreamTable::peerLoadLifetime,
+                              2 * interval * beatsInRound(targets, all));
 }
 
 } // namespace reachlead
--- a/src/peer/beatbudget.h
+++ b/src/peer/beatbudget.h
@@ -10,7 +10,7 @@
 #include <cstddef>
 
 #include <reachlead/clock.h>
-#include <reachlead/dialect.h>
+#include <reachlead/headercodec.h>
 
 namespace reachlead {
 
@@ -54,7 +54,7 @@
     static constexpr double thriftyPart = 0.5;
 
     /// How long what is new is told, so that each of the others hears it, most of them once.
-    Duration noteSpan(std::size_t targets, std::size_t all) const;
+    Duration hintWindow(std::size_t targets, std::size_t all) const;
 
     /// How long a load that was told counts: two rounds over all gateways. Were it shorter than a
     /// round, most of a large fleet's load would be taken for none.
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -58,7 +58,7 @@
 {
     std::uint32_t size = 0;
     std::memcpy(&size, head.data(), sizeof size);
-    if (size > largestFrame)
+    if (size > maxFrameBytes)
         return std::nullopt;
     return size;
 }
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -21,7 +21,7 @@
 void appendFrame(std::string *out, const ToAgent &message);
 void appendFrame(std::string *out, const ToRouter &message);
 
-/// Reads the length of a frame; empty when it passes largestFrame.
+/// Reads the length of a frame; empty when it passes maxFrameBytes.
 std::optional<std::size_t> frameLength(std::string_view head);
 
 /// Decodes one frame's payload, without the length. Empty with \p reason set when the bytes are
--- a/src/peer/codec_test.cpp
+++ b/src/peer/codec_test.cpp
@@ -49,10 +49,10 @@
         CPPUNIT_ASSERT(message.id == dispatch().id);
         CPPUNIT_ASSERT_EQUAL(dispatch().call.body, message.call.body);
         CPPUNIT_ASSERT_EQUAL(std::string("b"), message.call.headers.at(0).value);
-        const End end{
+        const AttemptResult end{
             {Incarnation{1}, 2}, 3, ErrorKind::UpstreamLost, Outcome::Ran, "why", 5, 6, 0, {}, {}};
         const auto back = decodeToRouter(payload(ToRouter(end)), &reason);
-        CPPUNIT_ASSERT(back && std::get<End>(*back).kind == ErrorKind::UpstreamLost);
+        CPPUNIT_ASSERT(back && std::get<AttemptResult>(*back).kind == ErrorKind::UpstreamLost);
         const Heartbeat beat{1, VmName("a"), Incarnation{3}, 4, {}, ""};
         CPPUNIT_ASSERT(decodeHeartbeat(encodeHeartbeat(beat), &reason)->sequence == 4);
         CPPUNIT_ASSERT(!decodeToRouter(payload(ToRouter(end)) + "x", &reason));
--- a/src/peer/crashlink.cpp
+++ b/src/peer/crashlink.cpp
@@ -24,7 +24,7 @@
     std::vector<std::pair<std::uint64_t, VmName>> ranked;
     ranked.reserve(all.size());
     std::ranges::transform(all, std::back_inserter(ranked), [&](const VmName &vm) {
-        return std::pair(XXH64(vm.text.data(), vm.text.size(), request.proof), vm);
+        return std::pair(XXH64(vm.text.data(), vm.text.size(), request.secureHash), vm);
     });
     std::ranges::sort(ranked);
     ranked.resize(std::min(n, ranked.size()));
@@ -44,7 +44,7 @@
 
 void CrashLink::ended(const RequestDigest &request, const UpstreamId &upstream)
 {
-    const CrashWord word{request, tagOf(upstream)};
+    const CrashWord word{request, upstreamHash(upstream)};
     takeWord(word);
     tellCollectors(word);
 }
@@ -70,25 +70,25 @@
 
 void CrashLink::takeWord(const CrashWord &word)
 {
-    CrashBook &book = m_state.crashes();
+    CrashTracker &book = m_state.crashes();
     if (!word.ended) {
-        book.completed(word.request);
+        book.recordCompletion(word.request);
         return;
     }
-    if (book.ended(word.request, *word.ended, RuntimeClock::now()))
+    if (book.recordCrash(word.request, *word.ended, RuntimeClock::now()))
         begin(word.request);
 }
 
 /// Puts a request into quarantine everywhere.
 void CrashLink::begin(const RequestDigest &request)
 {
-    const auto leftMs = static_cast<std::uint32_t>(toMillis(CrashBook::quarantine));
+    const auto leftMs = static_cast<std::uint32_t>(toMillis(CrashTracker::quarantineDuration));
     LogLine(LogLevel::Warn, "quarantine-began")
         .with("request", toString(request))
-        .with("ended", CrashBook::crashLimit)
+        .with("ended", CrashTracker::crashLimit)
         .with("left_ms", leftMs);
     if (m_counters != nullptr)
-        m_counters->add(Count::QuarantinesBegun);
+        m_counters->add(Counter::QuarantinesStarted);
     const QuarantinedRequest quarantined{request, leftMs};
     const std::string payload = pvt::encodePayload(std::vector{quarantined});
     for (const auto &[vm, entry] : m_peers.fleet()) {
@@ -106,9 +106,9 @@
 
 void CrashLink::compareMark(std::uint64_t mark, const Endpoint &peer)
 {
-    const CrashBook &book = m_state.crashes();
+    const CrashTracker &book = m_state.crashes();
     const Time now = RuntimeClock::now();
-    if (mark == book.mark(now) || book.isQuarantineEmpty(now))
+    if (mark == book.checksum(now) || book.isQuarantineEmpty(now))
         return;
     m_peers.sendTo(peer, SealedKind::Quarantine, pvt::encodePayload(book.quarantined(now)));
 }
--- a/src/peer/crashlink.h
+++ b/src/peer/crashlink.h
@@ -14,7 +14,7 @@
 #include <boost/asio/ip/udp.hpp>
 
 #include <reachlead/counters.h>
-#include <reachlead/crashbook.h>
+#include <reachlead/crashtracker.h>
 #include <reachlead/gatewaystate.h>
 
 #include "peer/gatewaypeers.h"
@@ -25,7 +25,7 @@
 struct CrashWord
 {
     RequestDigest request;
-    std::optional<UpstreamTagNumber> ended; ///< this upstream, under it; none: it completed
+    std::optional<UpstreamHash> ended; ///< this upstream, under it; none: it completed
 
     template <class Archive> void serialize(Archive &ar) { ar(request, ended); }
 };
--- a/src/peer/crashlink_test.cpp
+++ b/src/peer/crashlink_test.cpp
@@ -27,7 +27,7 @@
 
     static RequestDigest request(std::string_view body)
     {
-        return digestOf({AccountName("a"), "h", "/p", body});
+        return computeDigest({AccountName("a"), "h", "/p", body});
     }
 
     struct Node
@@ -60,7 +60,7 @@
         }
         bool refuses(const RequestDigest &it)
         {
-            return state.crashes().leftFor(it, RuntimeClock::now()).has_value();
+            return state.crashes().remainingQuarantine(it, RuntimeClock::now()).has_value();
         }
 
         Counters counters;
--- a/src/peer/dispatcher.cpp
+++ b/src/peer/dispatcher.cpp
@@ -18,7 +18,7 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-Dispatcher::Dispatcher(Options options, std::function<void(ReplySlotPtr)> announce,
+Dispatcher::Dispatcher(Options options, std::function<void(AnswerChannelPtr)> announce,
                        std::function<void(std::vector<TargetName>)> onTargets)
     : m_options(std::move(options)), m_announce(std::move(announce)),
       m_onTargets(std::move(onTargets)), m_work(m_io.get_executor()),
@@ -42,12 +42,12 @@
     m_context.counters = m_options.counters;
     m_context.keys = m_options.keys;
     m_context.onUp = [this](const Welcome &welcome) {
-        m_core->agentUp(welcome, RuntimeClock::now());
+        m_core->agentConnected(welcome, RuntimeClock::now());
         act();
         tellTargets();
     };
     m_context.onDown = [this](const VmName &agent) {
-        m_core->agentDown(agent, RuntimeClock::now());
+        m_core->agentDisconnected(agent, RuntimeClock::now());
         act();
     };
     m_context.onMessage = [this](const VmName &agent, const ToRouter &message) {
@@ -81,19 +81,19 @@
     m_io.run();
 }
 
-bool Dispatcher::submit(Tier tier, CallerRequest request, ReplySlotPtr slot)
+bool Dispatcher::submit(Tier tier, CallerRequest request, AnswerChannelPtr slot)
 {
     ArrivalRing &ring = *m_arrivals.at(indexOf(tier));
     if (ring.push({std::move(request), std::move(slot)}))
         return true;
-    m_options.counters->add(Count::RingFull);
+    m_options.counters->add(Counter::RingFull);
     return false;
 }
 
-void Dispatcher::look(const ReplySlotPtr &slot)
+void Dispatcher::look(const AnswerChannelPtr &slot)
 {
     if (!m_looks.push(slot))
-        m_options.counters->add(Count::RingFull);
+        m_options.counters->add(Counter::RingFull);
 }
 
 void Dispatcher::setMembers(std::vector<Member> members)
@@ -122,7 +122,7 @@
     for (auto &ring : m_arrivals) {
         for (Arrival &arrival : ring->drain()) {
             m_slots[arrival.request.id] = arrival.slot;
-            m_core->arrive(std::move(arrival.request), now);
+            m_core->submitRequest(std::move(arrival.request), now);
         }
     }
     act();
@@ -131,12 +131,12 @@
 void Dispatcher::takeLooks()
 {
     const Time now = RuntimeClock::now();
-    for (const ReplySlotPtr &slot : m_looks.drain()) {
-        const auto [gone, took] = slot->takeFromCaller();
+    for (const AnswerChannelPtr &slot : m_looks.drain()) {
+        const auto [gone, took] = slot->takeCallerState();
         if (gone)
-            m_core->callerGone(slot->id(), now);
+            m_core->callerDisconnected(slot->id(), now);
         else if (took > 0)
-            m_core->callerTook(slot->id(), took);
+            m_core->callerConsumed(slot->id(), took);
     }
     act();
 }
@@ -147,13 +147,13 @@
         std::visit([this](auto &a) { perform(a); }, action);
 }
 
-void Dispatcher::perform(TellCaller &action)
+void Dispatcher::perform(SendToCaller &action)
 {
     const auto it = m_slots.find(action.id);
     if (it == m_slots.end())
         return;
-    const ReplySlotPtr slot = it->second;
-    if (std::holds_alternative<AnswerEnd>(action.event))
+    const AnswerChannelPtr slot = it->second;
+    if (std::holds_alternative<AnswerResult>(action.event))
         m_slots.erase(it);
     if (slot->put(std::move(action.event)))
         m_announce(slot);
@@ -192,7 +192,7 @@
         if (it != agents.end() && !moved)
             return false;
         entry.second->remove();
-        m_core->forgetAgent(entry.first, now);
+        m_core->removeAgent(entry.first, now);
         return true;
     });
     for (const auto &[name, member] : agents) {
@@ -200,7 +200,7 @@
             m_links[name] = std::make_shared<AgentLink>(m_io, m_context, member);
             m_links[name]->start();
         }
-        m_core->membership(name, member.leaving, now);
+        m_core->setAgentLeaving(name, member.leaving, now);
     }
     shareLimits(members);
     act();
@@ -222,7 +222,7 @@
     const auto routers = std::ranges::count_if(members, [](const Member &member) {
         return member.role == MemberRole::Router && !member.leaving;
     });
-    m_core->setLimitPart(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, routers)));
+    m_core->setAccountLimitShare(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, routers)));
 }
 
 void Dispatcher::scheduleTick()
@@ -253,7 +253,7 @@
                 m_core->heartbeat(*beat, RuntimeClock::now());
                 act();
             } else {
-                m_options.counters->add(Count::HostileFrames);
+                m_options.counters->add(Counter::HostileFrames);
             }
             readHeartbeat();
         });
--- a/src/peer/dispatcher.h
+++ b/src/peer/dispatcher.h
@@ -16,9 +16,9 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
 
+#include <reachlead/answerchannel.h>
 #include <reachlead/platform.h>
-#include <reachlead/replyslot.h>
-#include <reachlead/ring.h>
+#include <reachlead/ringbuffer.h>
 #include <reachlead/routercore.h>
 
 #include "peer/agentlink.h"
@@ -43,14 +43,14 @@
 
     /// \p announce is called on the dispatching thread with each slot that has events,
     /// \p onTargets there with the targets that agents serve, when they change.
-    Dispatcher(Options options, std::function<void(ReplySlotPtr)> announce,
+    Dispatcher(Options options, std::function<void(AnswerChannelPtr)> announce,
                std::function<void(std::vector<TargetName>)> onTargets);
     ~Dispatcher();
 
     /// Hands a request over. False when the ring of its tier is full: nothing was taken.
-    bool submit(Tier tier, CallerRequest request, ReplySlotPtr slot);
+    bool submit(Tier tier, CallerRequest request, AnswerChannelPtr slot);
     /// Has the dispatching thread look at what the caller said in the slot.
-    void look(const ReplySlotPtr &slot);
+    void look(const AnswerChannelPtr &slot);
     /// Takes a new membership list.
     void setMembers(std::vector<Member> members);
     void setPolicies(PoliciesPtr policies);
@@ -74,15 +74,15 @@
     struct Arrival
     {
         CallerRequest request;
-        ReplySlotPtr slot;
+        AnswerChannelPtr slot;
     };
-    using ArrivalRing = Ring<Arrival>;
+    using ArrivalRing = RingBuffer<Arrival>;
 
     void run();
     void takeArrivals();
     void takeLooks();
     void act();
-    void perform(TellCaller &action);
+    void perform(SendToCaller &action);
     void perform(SendToAgent &action);
     void perform(DropSession &action);
     void applyMembers(const std::vector<Member> &members, const std::set<VmName> &picked);
@@ -92,7 +92,7 @@
     void tellTargets();
 
     Options m_options;
-    std::function<void(ReplySlotPtr)> m_announce;
+    std::function<void(AnswerChannelPtr)> m_announce;
     std::function<void(std::vector<TargetName>)> m_onTargets;
     std::vector<TargetName> m_targetsTold;
     boost::asio::io_context m_io{1};
@@ -100,9 +100,9 @@
     std::unique_ptr<RouterCore> m_core;
     LinkContext m_context;
     std::map<VmName, std::shared_ptr<AgentLink>> m_links;
-    std::unordered_map<RequestId, ReplySlotPtr> m_slots;
+    std::unordered_map<RequestId, AnswerChannelPtr> m_slots;
     std::array<std::unique_ptr<ArrivalRing>, tierCount> m_arrivals;
-    Ring<ReplySlotPtr> m_looks;
+    RingBuffer<AnswerChannelPtr> m_looks;
     Timer m_tick;
     boost::asio::ip::udp::socket m_heartbeats;
     boost::asio::ip::udp::endpoint m_heartbeatFrom;
--- a/src/peer/gatewaymessages.cpp
+++ b/src/peer/gatewaymessages.cpp
@@ -22,8 +22,9 @@
     std::vector<TaggedLoad> tagged;
     for (const auto &[id, at] : load) {
         const std::uint64_t units =
-            (at.unreadTokens + TaggedLoad::tokensPerUnit - 1) / TaggedLoad::tokensPerUnit;
-        tagged.push_back({tagOf(id), bounded(at.running), bounded(units), bounded(at.brief)});
+            (at.prefillTokens + TaggedLoad::tokensPerUnit - 1) / TaggedLoad::tokensPerUnit;
+        tagged.push_back(
+            {upstreamHash(id), bounded(at.running), bounded(units), bounded(at.shortPrompts)});
     }
     const auto weight = [](const TaggedLoad &at) { return std::pair(at.unread, at.running); };
     std::ranges::sort(tagged, std::ranges::greater(), weight);
@@ -37,11 +38,11 @@
     return XXH32(vm.text.data(), vm.text.size(), 0);
 }
 
-std::vector<TaggedNote> tagNotes(const std::vector<PromptNote> &notes)
+std::vector<TaggedNote> tagNotes(const std::vector<PromptHint> &notes)
 {
     std::vector<TaggedNote> tagged;
-    std::ranges::transform(notes, std::back_inserter(tagged), [](const PromptNote &note) {
-        return TaggedNote{tagOf(note.upstream), note.key};
+    std::ranges::transform(notes, std::back_inserter(tagged), [](const PromptHint &note) {
+        return TaggedNote{upstreamHash(note.upstream), note.key};
     });
     return tagged;
 }
@@ -50,39 +51,39 @@
 {
     LoadByUpstream known;
     for (const TaggedLoad &at : load) {
-        if (const UpstreamEntry *entry = directory.findTag(at.upstream))
+        if (const UpstreamEntry *entry = directory.findByHash(at.upstream))
             known[entry->id] = {at.running, at.unread * TaggedLoad::tokensPerUnit, at.brief};
     }
     return known;
 }
 
-std::vector<PromptNote> untagNotes(const std::vector<TaggedNote> &notes,
+std::vector<PromptHint> untagNotes(const std::vector<TaggedNote> &notes,
                                    const UpstreamDirectory &directory)
 {
-    std::vector<PromptNote> known;
+    std::vector<PromptHint> known;
     for (const TaggedNote &note : notes) {
-        if (const UpstreamEntry *entry = directory.findTag(note.upstream))
+        if (const UpstreamEntry *entry = directory.findByHash(note.upstream))
             known.push_back({entry->id, note.key});
     }
     return known;
 }
 
-std::vector<TaggedLimit> tagLimits(const std::vector<LimitNote> &notes)
+std::vector<TaggedLimit> tagLimits(const std::vector<LimitUpdate> &notes)
 {
     std::vector<TaggedLimit> tagged;
-    std::ranges::transform(notes, std::back_inserter(tagged), [](const LimitNote &note) {
-        return TaggedLimit{tagOf(note.upstream), note.limit.value_or(TaggedLimit::noLimit),
-                           note.stamp};
+    std::ranges::transform(notes, std::back_inserter(tagged), [](const LimitUpdate &note) {
+        return TaggedLimit{upstreamHash(note.upstream), note.limit.value_or(TaggedLimit::noLimit),
+                           note.timestamp};
     });
     return tagged;
 }
 
-std::vector<LimitNote> untagLimits(const std::vector<TaggedLimit> &limits,
-                                   const UpstreamDirectory &directory)
+std::vector<LimitUpdate> untagLimits(const std::vector<TaggedLimit> &limits,
+                                     const UpstreamDirectory &directory)
 {
-    std::vector<LimitNote> notes;
+    std::vector<LimitUpdate> notes;
     for (const TaggedLimit &it : limits) {
-        const UpstreamEntry *entry = directory.findTag(it.upstream);
+        const UpstreamEntry *entry = directory.findByHash(it.upstream);
         if (entry == nullptr)
             continue;
         const bool isOver = it.limit == TaggedLimit::noLimit;
@@ -111,15 +112,15 @@
     return pvt::decodePayload<NewsAsk>(payload, reason);
 }
 
-std::string encodeNews(const GatewayNews &news)
+std::string encodeNews(const StateUpdate &news)
 {
     return pvt::encodePayload(news.config, news.configChange, news.registry, news.evacuations,
                               news.roster);
 }
 
-std::optional<GatewayNews> decodeNews(std::string_view payload, std::string *reason)
+std::optional<StateUpdate> decodeNews(std::string_view payload, std::string *reason)
 {
-    GatewayNews news;
+    StateUpdate news;
     if (!pvt::decodeParts(payload, reason, news.config, news.configChange, news.registry,
                           news.evacuations, news.roster))
         return std::nullopt;
--- a/src/peer/gatewaymessages.h
+++ b/src/peer/gatewaymessages.h
@@ -14,14 +14,14 @@
 
 #include <reachlead/fleetsource.h>
 #include <reachlead/fleettime.h>
-#include <reachlead/upstreambook.h>
+#include <reachlead/upstreamtable.h>
 
 namespace reachlead {
 
 /// The load that a gateway causes at one upstream, short: beats are the most of what gateways send.
 struct TaggedLoad
 {
-    UpstreamTagNumber upstream = 0;
+    UpstreamHash upstream = 0;
     std::uint16_t running = 0; ///< the most that fits where there is more
     std::uint16_t unread = 0; ///< in units of tokensPerUnit, rounded up
     std::uint16_t brief = 0; ///< of those that run, with a short prompt
@@ -34,7 +34,7 @@
 /// Where a part of a prompt was placed, short.
 struct TaggedNote
 {
-    UpstreamTagNumber upstream = 0;
+    UpstreamHash upstream = 0;
     PromptKey key = 0;
 
     template <class Archive> void serialize(Archive &ar) { ar(upstream, key); }
@@ -43,17 +43,17 @@
 /// The short forms, the largest loads first where there are more than mostLoads; and back, without
 /// those of upstreams that the directory does not know.
 std::vector<TaggedLoad> tagLoad(const LoadByUpstream &load);
-std::vector<TaggedNote> tagNotes(const std::vector<PromptNote> &notes);
+std::vector<TaggedNote> tagNotes(const std::vector<PromptHint> &notes);
 LoadByUpstream untagLoad(const std::vector<TaggedLoad> &load, const UpstreamDirectory &directory);
-std::vector<PromptNote> untagNotes(const std::vector<TaggedNote> &notes,
+std::vector<PromptHint> untagNotes(const std::vector<TaggedNote> &notes,
                                    const UpstreamDirectory &directory);
 
 /// What was heard of an upstream's limit, short.
 struct TaggedLimit
 {
-    UpstreamTagNumber upstream = 0;
+    UpstreamHash upstream = 0;
     CallRate limit; ///< noLimit: it is over
-    UnixMillis stamp = 0; ///< as in LimitNote
+    UnixMillis stamp = 0; ///< as in LimitUpdate
 
     static constexpr CallRate noLimit{std::numeric_limits<std::uint32_t>::max()};
 
@@ -61,9 +61,9 @@
 };
 
 /// The short forms, and back without those of upstreams that the directory does not know.
-std::vector<TaggedLimit> tagLimits(const std::vector<LimitNote> &notes);
-std::vector<LimitNote> untagLimits(const std::vector<TaggedLimit> &limits,
-                                   const UpstreamDirectory &directory);
+std::vector<TaggedLimit> tagLimits(const std::vector<LimitUpdate> &notes);
+std::vector<LimitUpdate> untagLimits(const std::vector<TaggedLimit> &limits,
+                                     const UpstreamDirectory &directory);
 
 /// Limits in one message: 0.13 KB.
 inline constexpr std::size_t mostLimits = 8;
@@ -103,9 +103,9 @@
     std::uint64_t rosterRevision = 0; ///< as GatewayRoster::revision
     std::int32_t ageMs = unknownAge; ///< of the state: since it was known to be current
     UnixMillis clock = 0; ///< the sender's time of day
-    std::uint64_t quarantineMark = 0; ///< as CrashBook::mark()
+    std::uint64_t quarantineMark = 0; ///< as CrashTracker::mark()
     std::vector<TaggedLoad> load;
-    AskNumber openFrom = 0; ///< as in ToldLoad
+    QueryId oldestPendingQuery = 0; ///< as in ReportedLoad
     std::vector<TaggedNote> prompts; ///< placed lately
     std::vector<TaggedLimit> limits; ///< some of those heard lately
     std::vector<UpstreamId> leaving; ///< some that said so lately
@@ -117,8 +117,8 @@
     template <class Archive> void serialize(Archive &ar)
     {
         ar(from, incarnation, sequence, configVersion, registryRevision, evacuationRevision,
-           evacuationMark, rosterRevision, ageMs, clock, quarantineMark, load, openFrom, prompts,
-           limits, leaving, sample, lives);
+           evacuationMark, rosterRevision, ageMs, clock, quarantineMark, load, oldestPendingQuery,
+           prompts, limits, leaving, sample, lives);
     }
 };
 
@@ -136,7 +136,7 @@
 std::optional<GatewayBeat> decodeBeat(std::string_view payload, std::string *reason);
 std::string encodeAsk(const NewsAsk &ask);
 std::optional<NewsAsk> decodeAsk(std::string_view payload, std::string *reason);
-std::string encodeNews(const GatewayNews &news);
-std::optional<GatewayNews> decodeNews(std::string_view payload, std::string *reason);
+std::string encodeNews(const StateUpdate &news);
+std::optional<StateUpdate> decodeNews(std::string_view payload, std::string *reason);
 
 } // namespace reachlead
--- a/src/peer/gatewaymessages_test.cpp
+++ b/src/peer/gatewaymessages_test.cpp
@@ -21,9 +21,9 @@
     CPPUNIT_TEST(cutMessagesAreRefused);
     CPPUNIT_TEST_SUITE_END();
 
-    static GatewayNews news()
+    static StateUpdate news()
     {
-        GatewayNews made;
+        StateUpdate made;
         made.config.emplace();
         made.config->version = 9;
         Route route;
@@ -32,12 +32,12 @@
         route.services = {{ServiceName("s"), 2.5}};
         made.config->routes = {route};
         made.config->accounts = {{AccountName("a"), {"k"}, 4U}, {AccountName("b"), {}, {}}};
-        made.registry.all.emplace();
+        made.registry.snapshot.emplace();
         UpstreamEntry entry;
         entry.id = UpstreamId("u");
         entry.address = {"10.0.0.1", 81};
         entry.leaving = true;
-        made.registry.all->push_back(entry);
+        made.registry.snapshot->push_back(entry);
         made.registry.revision = 77;
         made.registry.held = {{entry, 1200}};
         return made;
@@ -53,12 +53,13 @@
         CPPUNIT_ASSERT_EQUAL(2.5, read->config->routes[0].services[0].weight);
         CPPUNIT_ASSERT_EQUAL(4U, *read->config->accounts[0].priority);
         CPPUNIT_ASSERT(!read->config->accounts[1].priority);
-        CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:81"), read->registry.all->at(0).address.text());
-        CPPUNIT_ASSERT(read->registry.all->at(0).leaving);
+        CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:81"),
+                             read->registry.snapshot->at(0).address.text());
+        CPPUNIT_ASSERT(read->registry.snapshot->at(0).leaving);
         CPPUNIT_ASSERT_EQUAL(std::string("u"), read->registry.held.at(0).entry.id.text);
         CPPUNIT_ASSERT_EQUAL(std::int32_t{1200}, read->registry.held.at(0).leftMs);
         const auto none = decodeNews(encodeNews({}), &reason);
-        CPPUNIT_ASSERT(none && !none->config && !none->registry.all);
+        CPPUNIT_ASSERT(none && !none->config && !none->registry.snapshot);
     }
 
     void beatsArriveAsTheyWere()
@@ -81,9 +82,9 @@
         const LoadByUpstream load = untagLoad(read->load, directory);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, load.size());
         CPPUNIT_ASSERT_EQUAL(3U, load.at(known.id).running);
-        CPPUNIT_ASSERT_EQUAL(2U, load.at(known.id).brief);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4032}, load.at(known.id).unreadTokens); // whole units
-        const std::vector<PromptNote> notes = untagNotes(read->prompts, directory);
+        CPPUNIT_ASSERT_EQUAL(2U, load.at(known.id).shortPrompts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4032}, load.at(known.id).prefillTokens); // whole units
+        const std::vector<PromptHint> notes = untagNotes(read->prompts, directory);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, notes.size());
         CPPUNIT_ASSERT_EQUAL(PromptKey{12345}, notes.at(0).key);
         CPPUNIT_ASSERT_EQUAL(std::string("other"), read->sample.at(0).vm.text);
@@ -102,10 +103,10 @@
         CPPUNIT_ASSERT_MESSAGE(reason, read.has_value());
         UpstreamDirectory directory;
         directory.replaceAll({known}, 1, Time{});
-        const std::vector<LimitNote> notes = untagLimits(read->limits, directory);
+        const std::vector<LimitUpdate> notes = untagLimits(read->limits, directory);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, notes.size()); // the other life is not known
         CPPUNIT_ASSERT(notes.at(0).limit == CallRate{2200} && !notes.at(1).limit);
-        CPPUNIT_ASSERT_EQUAL(UnixMillis{41}, notes.at(0).stamp);
+        CPPUNIT_ASSERT_EQUAL(UnixMillis{41}, notes.at(0).timestamp);
     }
 
     void beatOfTheLargestLoadIsBounded()
@@ -117,7 +118,7 @@
         beat.load = tagLoad(load);
         beat.limits.resize(mostLimits);
         beat.leaving.resize(mostLeaving, UpstreamId("i-0123456789"));
-        beat.prompts.resize(UpstreamBook::mostNotes - 2 * mostLimits - 3 * mostLeaving);
+        beat.prompts.resize(UpstreamTable::maxHints - 2 * mostLimits - 3 * mostLeaving);
         CPPUNIT_ASSERT_EQUAL(mostLoads, beat.load.size());
         CPPUNIT_ASSERT_EQUAL(std::uint16_t{65'535}, beat.load.front().unread);
         CPPUNIT_ASSERT(encodeBeat(beat).size() < 1200);
--- a/src/peer/gatewaypeers.cpp
+++ b/src/peer/gatewaypeers.cpp
@@ -53,7 +53,7 @@
 {
     m_options.self.address.port = m_acceptor.local_endpoint().port();
     m_turn = m_random() % mostPeers;
-    m_time.note(m_options.self.vm, vmTimeOfDay(), RuntimeClock::now());
+    m_time.recordClock(m_options.self.vm, vmTimeOfDay(), RuntimeClock::now());
     m_state.setTimeOfDay([this] { return timeOfDay(); });
     asio::co_spawn(io, beatLoop(), asio::detached);
     asio::co_spawn(io, hearLoop(), asio::detached);
@@ -97,8 +97,9 @@
         sendBeats();
         const Time sent = RuntimeClock::now();
         const auto isNextDue = [&] {
-            return m_options.beats.isDue(RuntimeClock::now() - sent, m_state.book().untold(),
-                                         m_lastBytes, m_peers.size());
+            return m_options.beats.isDue(RuntimeClock::now() - sent,
+                                         m_state.upstreams().unreportedTokens(), m_lastBytes,
+                                         m_peers.size());
         };
         while (!m_stopped && !isNextDue()) {
             error_code ec;
@@ -117,25 +118,25 @@
     beat.configVersion = m_state.configVersion();
     beat.registryRevision = m_state.directory().revision();
     beat.evacuationRevision = m_state.evacuations().revision();
-    beat.evacuationMark = m_state.evacuations().mark();
+    beat.evacuationMark = m_state.evacuations().checksum();
     beat.rosterRevision = m_state.roster().revision;
     beat.clock = vmTimeOfDay();
-    m_time.note(m_options.self.vm, beat.clock, RuntimeClock::now());
+    m_time.recordClock(m_options.self.vm, beat.clock, RuntimeClock::now());
     m_time.dropOld(RuntimeClock::now());
     if (const auto at = m_state.currentAt())
         beat.ageMs = static_cast<std::int32_t>(toMillis(RuntimeClock::now() - *at));
-    beat.load = tagLoad(m_state.book().ownLoad());
-    beat.quarantineMark = m_state.crashes().mark(RuntimeClock::now());
-    beat.openFrom = m_openAsks ? m_openAsks() : 0;
-    m_state.book().told();
+    beat.load = tagLoad(m_state.upstreams().ownLoad());
+    beat.quarantineMark = m_state.crashes().checksum(RuntimeClock::now());
+    beat.oldestPendingQuery = m_openAsks ? m_openAsks() : 0;
+    m_state.upstreams().markReported();
     const Time now = RuntimeClock::now();
-    const Duration span = m_options.beats.noteSpan(m_lastTargets, others().size());
-    beat.prompts = tagNotes(m_state.book().freshNotes(now, span));
+    const Duration span = m_options.beats.hintWindow(m_lastTargets, others().size());
+    beat.prompts = tagNotes(m_state.upstreams().recentHints(now, span));
     beat.limits = limitsToTell(now);
     beat.leaving = leavingToTell(now);
     // A limit takes no more bytes than two prompts, and an id than three; these give way to them.
     const std::size_t taken = 2 * beat.limits.size() + 3 * beat.leaving.size();
-    beat.prompts.resize(std::min(beat.prompts.size(), UpstreamBook::mostNotes - taken));
+    beat.prompts.resize(std::min(beat.prompts.size(), UpstreamTable::maxHints - taken));
     if (beat.load.size() <= mostLoads / 2) // a beat of the largest load has no room
         beat.lives = livesToTell(now);
     if (++m_beats % sampleEvery != 1)
@@ -151,12 +152,12 @@
 
 std::vector<TaggedLimit> GatewayPeers::limitsToTell(Time now, const std::set<UpstreamId> *of)
 {
-    const std::vector<LimitNote> recent = m_state.book().limits().recent(now);
-    std::vector<LimitNote> wanted;
-    std::ranges::copy_if(recent, std::back_inserter(wanted), [of](const LimitNote &note) {
+    const std::vector<LimitUpdate> recent = m_state.upstreams().limits().recent(now);
+    std::vector<LimitUpdate> wanted;
+    std::ranges::copy_if(recent, std::back_inserter(wanted), [of](const LimitUpdate &note) {
         return of == nullptr || of->contains(note.upstream);
     });
-    std::vector<LimitNote> some;
+    std::vector<LimitUpdate> some;
     std::ranges::sample(wanted, std::back_inserter(some), mostLimits, m_random);
     return tagLimits(some);
 }
@@ -336,10 +337,10 @@
         m_takers[kind] = callback;
 }
 
-std::set<GatewayLife> GatewayPeers::livesHeard(Duration span) const
+std::set<GatewayIncarnation> GatewayPeers::livesHeard(Duration span) const
 {
     const Time now = RuntimeClock::now();
-    std::set<GatewayLife> lives;
+    std::set<GatewayIncarnation> lives;
     for (const auto &[vm, peer] : m_peers) {
         if (peer.heardDirectly + span > now && peer.incarnation.value != 0)
             lives.insert({vm, peer.incarnation});
@@ -377,7 +378,7 @@
 void GatewayPeers::refuseStranger(std::string_view what, const std::string &from)
 {
     if (m_options.counters != nullptr)
-        m_options.counters->add(Count::HostileFrames);
+        m_options.counters->add(Counter::HostileFrames);
     LogLine(LogLevel::Warn, "peer-not-of-the-fleet").with("what", what).with("from", from);
 }
 
@@ -407,7 +408,7 @@
 {
     return beat.configVersion > m_state.configVersion()
         || beat.registryRevision > m_state.directory().revision()
-        || beat.evacuationRevision > m_state.evacuations().readAt();
+        || beat.evacuationRevision > m_state.evacuations().readRevision();
 }
 
 void GatewayPeers::take(const GatewayBeat &beat)
@@ -431,12 +432,13 @@
     m_state.compareEvacuations(beat.evacuationRevision, beat.evacuationMark);
     if (m_onMark)
         m_onMark(beat.quarantineMark, beat.from.address);
-    m_time.note(beat.from.vm, beat.clock, now);
-    m_state.noteGateways(m_peers.size() + 1);
+    m_time.recordClock(beat.from.vm, beat.clock, now);
+    m_state.setLiveGateways(m_peers.size() + 1);
     const Duration valid = m_options.beats.loadAge(m_lastTargets, m_peers.size());
-    m_state.book().setPeerLoad(
-        beat.from.vm, {untagLoad(beat.load, m_state.directory()), beat.openFrom}, now, valid);
-    m_state.book().learn(untagNotes(beat.prompts, m_state.directory()), now);
+    m_state.upstreams().setPeerLoad(
+        beat.from.vm, {untagLoad(beat.load, m_state.directory()), beat.oldestPendingQuery}, now,
+        valid);
+    m_state.upstreams().addHints(untagNotes(beat.prompts, m_state.directory()), now);
     m_state.learnLimits(untagLimits(beat.limits, m_state.directory()), beat.from.vm);
     m_state.learnLeaving(beat.leaving, beat.from.vm);
     const bool isBehindNow = isBehind(beat);
@@ -461,7 +463,7 @@
 void GatewayPeers::takeVouch(const GatewayBeat &beat, Time heardAt)
 {
     if (!isBehind(beat) && beat.ageMs != GatewayBeat::unknownAge)
-        m_state.vouched(heardAt - milliseconds(beat.ageMs) - transit);
+        m_state.confirmed(heardAt - milliseconds(beat.ageMs) - transit);
 }
 
 } // namespace reachlead
--- a/src/peer/gatewaypeers.h
+++ b/src/peer/gatewaypeers.h
@@ -27,7 +27,7 @@
 #include <reachlead/fleetkeys.h>
 #include <reachlead/fleettime.h>
 #include <reachlead/gatewaystate.h>
-#include <reachlead/usagebook.h>
+#include <reachlead/usagetable.h>
 
 #include "peer/beatbudget.h"
 #include "peer/gatewaymessages.h"
@@ -94,7 +94,7 @@
     void onDatagram(std::initializer_list<SealedKind> kinds, const TakeDatagram &callback);
 
     /// The lives of other gateways that were heard in the last \p span.
-    std::set<GatewayLife> livesHeard(Duration span) const;
+    std::set<GatewayIncarnation> livesHeard(Duration span) const;
 
     /// Limits that were heard lately, some where there are many; \p of: of these upstreams alone.
     std::vector<TaggedLimit> limitsToTell(Time now, const std::set<UpstreamId> *of = nullptr);
@@ -106,8 +106,8 @@
     /// The time of day by the clocks of all gateways that were heard.
     UnixMillis timeOfDay() const { return m_time.at(RuntimeClock::now()); }
 
-    /// Asked for ToldLoad::openFrom of the next beat.
-    void tellOpenAsks(std::function<AskNumber()> callback) { m_openAsks = std::move(callback); }
+    /// Asked for ReportedLoad::oldestPendingQuery of the next beat.
+    void tellOpenAsks(std::function<QueryId()> callback) { m_openAsks = std::move(callback); }
 
     /// Called with the quarantineMark of each beat and where its sender listens.
     void onMark(std::function<void(std::uint64_t, const Endpoint &)> callback)
@@ -193,7 +193,7 @@
     std::optional<Time> m_behindSince;
     std::map<SealedKind, TakeDatagram> m_takers;
     FleetTime m_time;
-    std::function<AskNumber()> m_openAsks;
+    std::function<QueryId()> m_openAsks;
     std::function<void(std::uint64_t, const Endpoint &)> m_onMark;
     bool m_fetching = false;
     bool m_stopped = false;
--- a/src/peer/gatewaypeers_news.cpp
+++ b/src/peer/gatewaypeers_news.cpp
@@ -15,7 +15,7 @@
 #include <boost/asio/write.hpp>
 
 #include <reachlead/log.h>
-#include <reachlead/socketlimits.h>
+#include <reachlead/sockettimeouts.h>
 
 #include "peer/gatewaypeers.h"
 #include "peer/proof.h"
@@ -102,7 +102,7 @@
     timer.cancel();
     m_fetching = false;
     m_behindSince.reset();
-    std::optional<GatewayNews> news;
+    std::optional<StateUpdate> news;
     if (text) {
         const auto message = unseal(m_options.keys, SealedKind::News, nonce, *text);
         reason = "the answer is not of this fleet";
@@ -112,7 +112,7 @@
             refuseStranger("news", peer.address.text());
     }
     if (news) {
-        m_state.peerTold(peer.vm, *news);
+        m_state.applyPeerUpdate(peer.vm, *news);
         takeVouch(beat, heardAt);
     } else {
         LogLine(LogLevel::Warn, "peer-fetch-failed")
@@ -128,7 +128,7 @@
         Socket socket = co_await m_acceptor.async_accept(keepError(&ec));
         if (ec)
             continue;
-        limitSilence(socket);
+        setSocketTimeouts(socket);
         asio::co_spawn(m_io, answerNews(std::move(socket)), asio::detached);
     }
 }
@@ -147,7 +147,7 @@
     if (ask) {
         const std::string nonce = std::to_string(ask->nonce);
         const std::string payload = seal(m_options.keys, SealedKind::News, nonce,
-                                         encodeNews(m_state.newsSince(ask->known)));
+                                         encodeNews(m_state.updateSince(ask->known)));
         co_await writeText(*held, payload);
     } else if (text) {
         error_code ec;
--- a/src/peer/gatewaypeers_test.cpp
+++ b/src/peer/gatewaypeers_test.cpp
@@ -110,7 +110,7 @@
         teller.state.configRead(config(7));
         clocked.advance(milliseconds(1500));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, told.state.configVersion());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, told.counters.value(Count::HostileFrames));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, told.counters.value(Counter::HostileFrames));
     }
 
     void strangerTellsNothing()
@@ -122,7 +122,7 @@
         clocked.advance(milliseconds(1500));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, told.state.configVersion());
         CPPUNIT_ASSERT(told.peers.heard().empty());
-        CPPUNIT_ASSERT(told.counters.value(Count::HostileFrames) > 0);
+        CPPUNIT_ASSERT(told.counters.value(Counter::HostileFrames) > 0);
     }
 
     void answerToAnotherQuestionIsRefused()
@@ -248,10 +248,10 @@
     {
         const BeatBudget budget;
         const Duration interval = budget.interval;
-        CPPUNIT_ASSERT(budget.noteSpan(15, 29) == 3 * interval);
-        CPPUNIT_ASSERT(budget.noteSpan(4, 4) == 2 * interval);
-        CPPUNIT_ASSERT(budget.noteSpan(5, 479) == UpstreamBook::noteSpan);
-        CPPUNIT_ASSERT(budget.loadAge(15, 29) == UpstreamBook::peerLoadAge);
+        CPPUNIT_ASSERT(budget.hintWindow(15, 29) == 3 * interval);
+        CPPUNIT_ASSERT(budget.hintWindow(4, 4) == 2 * interval);
+        CPPUNIT_ASSERT(budget.hintWindow(5, 479) == UpstreamTable::hintWindow);
+        CPPUNIT_ASSERT(budget.loadAge(15, 29) == UpstreamTable::peerLoadLifetime);
         CPPUNIT_ASSERT(budget.loadAge(10, 100) == 20 * interval);
     }
 
@@ -276,15 +276,15 @@
         for (Node *it : {&hearer, &teller})
             it->state.upstreamsListed({engine}, 1);
         clocked.advance(milliseconds(410));
-        Choice choice;
+        Selection choice;
         choice.upstream = engine.id;
-        choice.unreadTokens = 9'000;
-        teller.state.book().sent(engine.id, ChoiceAsk{engine.service, "m", {}}, choice,
-                                 RuntimeClock::now());
+        choice.prefillTokens = 9'000;
+        teller.state.upstreams().sent(engine.id, SelectionQuery{engine.service, "m", {}}, choice,
+                                      RuntimeClock::now());
         clocked.advance(milliseconds(250));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.state.book().peersHeard());
-        const auto heard = hearer.state.book().loadOf(engine.id, RuntimeClock::now());
-        CPPUNIT_ASSERT(heard.unreadTokens >= 9'000);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.state.upstreams().peerCount());
+        const auto heard = hearer.state.upstreams().load(engine.id, RuntimeClock::now());
+        CPPUNIT_ASSERT(heard.prefillTokens >= 9'000);
     }
 
     /// The second gateway knows the other two; these do not know each other.
@@ -299,14 +299,14 @@
         for (Node *node : {&first, &second, &last})
             node->state.upstreamsListed({limited}, 1);
         const auto limitAt = [&](Node &node) {
-            return node.state.book().limits().of(limited.id, RuntimeClock::now());
+            return node.state.upstreams().limits().currentLimit(limited.id, RuntimeClock::now());
         };
-        first.state.book().limits().heard(limited.id, CallRate{2200}, RuntimeClock::now(),
-                                          vmTimeOfDay());
+        first.state.upstreams().limits().recordAnswer(limited.id, CallRate{2200},
+                                                      RuntimeClock::now(), vmTimeOfDay());
         clocked.advance(seconds(4));
         CPPUNIT_ASSERT(limitAt(second) == CallRate{2200} && limitAt(last) == CallRate{2200});
-        first.state.book().limits().heard(limited.id, std::nullopt, RuntimeClock::now(),
-                                          vmTimeOfDay());
+        first.state.upstreams().limits().recordAnswer(limited.id, std::nullopt, RuntimeClock::now(),
+                                                      vmTimeOfDay());
         clocked.advance(seconds(4));
         CPPUNIT_ASSERT(!limitAt(first) && !limitAt(second) && !limitAt(last));
     }
@@ -321,13 +321,13 @@
         UpstreamEntry leaver;
         leaver.id = UpstreamId("u", 7);
         UpstreamEntry nextLife = leaver;
-        nextLife.id.born = 8;
+        nextLife.id.startedAt = 8;
         nextLife.revision = 2;
         for (Node *node : {&first, &second, &last})
             node->state.upstreamsListed({leaver}, 1);
-        UpstreamStatement leaving;
+        UpstreamNotice leaving;
         leaving.isLeaving = true;
-        first.state.upstreamSaid(leaver.id, leaving);
+        first.state.applyNotice(leaver.id, leaving);
         clocked.advance(seconds(4));
         Node started(clocked.io, "started", "the key of this fleet", {last.address()});
         started.state.upstreamsListed({leaver}, 1);
--- a/src/peer/placementlink.cpp
+++ b/src/peer/placementlink.cpp
@@ -40,12 +40,12 @@
         [this](SealedKind kind, std::string_view message, const UdpEndpoint &from) {
             take(kind, message, from);
         });
-    m_peers.tellOpenAsks([this] { return m_asks.openFrom(); });
+    m_peers.tellOpenAsks([this] { return m_asks.oldestPendingQuery(); });
     if (m_options.isOn)
         asio::co_spawn(io, reportLoop(), asio::detached);
 }
 
-void PlacementLink::count(Count c)
+void PlacementLink::count(Counter c)
 {
     if (m_options.counters != nullptr)
         m_options.counters->add(c);
@@ -65,7 +65,7 @@
         m_names.insert(vm);
         cores.emplace(vm, entry.cores);
     }
-    m_strong = strongestOf(cores);
+    m_strong = strongGateways(cores);
     m_owners = m_strong;
     if (now < m_began + GatewayPeers::peerLimit)
         return; // one that was not heard yet may live
@@ -97,86 +97,86 @@
 bool PlacementLink::ownsLimitsOf(const GroupName &group)
 {
     refreshFleet();
-    return schedulerOf(group, m_owners) == m_state.vm();
+    return electScheduler(group, m_owners) == m_state.vm();
 }
 
 /// The group that places a call; nothing where this gateway chooses by itself. Plain calls are
 /// placed only while an upstream of their service names a limit, which one gateway gives out.
-std::optional<GroupName> PlacementLink::groupOf(const ChoiceAsk &ask)
+std::optional<GroupName> PlacementLink::groupOf(const SelectionQuery &ask)
 {
     const UpstreamDirectory &directory = m_state.directory();
     if (!m_options.isOn)
         return std::nullopt;
     if (!ask.prompt.empty())
-        return m_state.groups().groupOf(ask.service, keyParts(ask.model, ask.prompt), directory);
+        return m_state.groups().findGroup(ask.service, keyParts(ask.model, ask.prompt), directory);
     const Time now = RuntimeClock::now();
-    if (!m_options.plainCalls && !m_state.book().isKeptByLimits(ask, directory, now))
+    if (!m_options.plainCalls && !m_state.upstreams().isBlockedByLimit(ask, directory, now))
         return std::nullopt;
     const KeyedPart any{m_random(), 0}; // so that the calls spread over the groups
-    return m_state.groups().groupOf(ask.service, std::span(&any, 1), directory);
+    return m_state.groups().findGroup(ask.service, std::span(&any, 1), directory);
 }
 
 // Asking
 
-asio::awaitable<PlacedChoice> PlacementLink::choose(ChoiceAsk ask)
+asio::awaitable<PlacementResult> PlacementLink::select(SelectionQuery ask)
 {
     const Time began = RuntimeClock::now();
-    PlacedChoice placed;
+    PlacementResult placed;
     const std::optional<GroupName> group = groupOf(ask);
     if (group) {
         const VmName scheduler = schedulerFor(*group);
-        ask.placesForAll = scheduler == m_state.vm();
+        ask.isGroupScheduler = scheduler == m_state.vm();
         ask.ownsLimits = ownsLimitsOf(*group);
         if (ask.prompt.empty() && !m_options.plainCalls)
             ask.mayRefuse = false;
-        if (!ask.placesForAll) {
+        if (!ask.isGroupScheduler) {
             const auto answered = co_await askScheduler(scheduler, *group, ask);
-            count(answered ? Count::PlacementsAnswered : Count::PlacementsUnanswered);
+            count(answered ? Counter::PlacementsAnswered : Counter::PlacementsUnanswered);
             ask.mayRefuse = false; // what this gateway knows by itself is too little to refuse by
             if (answered)
                 placed = *answered;
         }
     }
-    if (!placed.choice && !placed.comeBack)
+    if (!placed.selection && !placed.retryAfter)
         placed = chooseHere(ask, group);
-    placed.took = RuntimeClock::now() - began;
+    placed.duration = RuntimeClock::now() - began;
     co_return placed;
 }
 
-PlacedChoice PlacementLink::chooseHere(ChoiceAsk ask, const std::optional<GroupName> &group)
+PlacementResult PlacementLink::chooseHere(SelectionQuery ask, const std::optional<GroupName> &group)
 {
     if (group)
-        ask.group = &m_state.groups().membersOf(*group, m_state.directory());
+        ask.group = &m_state.groups().groupMembers(*group, m_state.directory());
     else
         ask.mayRefuse = false;
     return choosePatiently(ask);
 }
 
 /// Chooses, or refuses what could not begin in time anywhere.
-PlacedChoice PlacementLink::choosePatiently(const ChoiceAsk &ask)
+PlacementResult PlacementLink::choosePatiently(const SelectionQuery &ask)
 {
-    PlacedChoice placed;
-    placed.by = m_state.vm();
-    placed.choice = m_state.book().choose(ask, m_state.directory(), RuntimeClock::now());
-    if (!placed.choice || !ask.mayRefuse)
+    PlacementResult placed;
+    placed.placedBy = m_state.vm();
+    placed.selection = m_state.upstreams().select(ask, m_state.directory(), RuntimeClock::now());
+    if (!placed.selection || !ask.mayRefuse)
         return placed;
     const Time now = RuntimeClock::now();
-    placed.comeBack = m_options.refusal.decide(ask.patience, placed.choice->leastWait);
-    if (placed.comeBack)
-        m_refusals.refused(ask.service, ask.patience.rank, now);
-    else if (m_options.refusal.targets > 0)
-        placed.comeBack = m_refusals.holdOf(ask.service, ask.patience.rank, now);
-    if (placed.comeBack)
-        placed.choice.reset();
+    placed.retryAfter = m_options.refusal.decide(ask.slack, placed.selection->minQueueWait);
+    if (placed.retryAfter)
+        m_refusals.refused(ask.service, ask.slack.urgencyRank, now);
+    else if (m_options.refusal.waitTargets > 0)
+        placed.retryAfter = m_refusals.remainingHold(ask.service, ask.slack.urgencyRank, now);
+    if (placed.retryAfter)
+        placed.selection.reset();
     else
-        m_refusals.placed(ask.service, ask.patience.rank, now);
+        m_refusals.placed(ask.service, ask.slack.urgencyRank, now);
     return placed;
 }
 
-asio::awaitable<std::optional<PlacedChoice>>
-PlacementLink::askScheduler(VmName scheduler, GroupName group, ChoiceAsk ask)
+asio::awaitable<std::optional<PlacementResult>>
+PlacementLink::askScheduler(VmName scheduler, GroupName group, SelectionQuery ask)
 {
-    const AskNumber number = m_asks.open(scheduler);
+    const QueryId number = m_asks.open(scheduler);
     const std::string payload = encodePlacementAsk(makeAsk(number, group, ask));
     sendTo(scheduler, SealedKind::PlacementAsk, payload);
     Waiter waiter(m_io);
@@ -186,11 +186,11 @@
     waiter.timer.expires_after(m_options.answerLimit);
     co_await waiter.timer.async_wait(keepError(&ec));
     waiters->erase(number);
-    PlacedChoice placed;
-    placed.by = scheduler;
+    PlacementResult placed;
+    placed.placedBy = scheduler;
     if (waiter.answer && waiter.answer->comeBackMs) {
         m_asks.conclude(number);
-        placed.comeBack = milliseconds(*waiter.answer->comeBackMs);
+        placed.retryAfter = milliseconds(*waiter.answer->comeBackMs);
         co_return placed;
     }
     const bool isPlaced = waiter.answer && waiter.answer->placed;
@@ -200,7 +200,7 @@
         if (waiter.answer && !waiter.answer->isStopping)
             m_asks.conclude(number);
         else
-            m_asks.missed(number, RuntimeClock::now());
+            m_asks.queryFailed(number, RuntimeClock::now());
         LogLine(LogLevel::Info, "placement-unanswered")
             .with("scheduler", scheduler.text)
             .with("service", group.service.text)
@@ -209,38 +209,41 @@
         co_return std::nullopt;
     }
     m_asks.conclude(number);
-    placed.choice = readPlaced(*waiter.answer->placed, ask);
-    if (!placed.choice)
+    placed.selection = readPlaced(*waiter.answer->placed, ask);
+    if (!placed.selection)
         co_return std::nullopt;
     // The scheduler counts the call from its answer on, so it need not be told of it.
-    UpstreamLoad &known = m_reported[group].load[placed.choice->upstream];
+    UpstreamLoad &known = m_reported[group].load[placed.selection->upstream];
     ++known.running;
-    known.unreadTokens += placed.choice->unreadTokens;
-    known.brief += placed.choice->isBrief ? 1 : 0;
+    known.prefillTokens += placed.selection->prefillTokens;
+    known.shortPrompts += placed.selection->isShortPrompt ? 1 : 0;
     co_return placed;
 }
 
 /// What the answer names, as this gateway knows it; nothing when it knows better: the upstream
 /// takes no more work, was tried, or is backed off.
-std::optional<Choice> PlacementLink::readPlaced(const PlacedCall &placed,
-                                                const ChoiceAsk &ask) const
+std::optional<Selection> PlacementLink::readPlaced(const PlacedCall &placed,
+                                                   const SelectionQuery &ask) const
 {
     const UpstreamDirectory &directory = m_state.directory();
-    const UpstreamEntry *entry = directory.findTag(placed.upstream);
+    const UpstreamEntry *entry = directory.findByHash(placed.upstream);
     if (entry == nullptr || !directory.takesWork(*entry) || entry->service != ask.service)
         return std::nullopt;
-    const bool isBackedOff = m_state.book().backoffs().isBackedOff(entry->id, RuntimeClock::now());
-    if (isBackedOff || !UpstreamBook::isEligible(ask, *entry))
+    const bool isBackedOff =
+        m_state.upstreams().backoffs().isBackedOff(entry->id, RuntimeClock::now());
+    if (isBackedOff || !UpstreamTable::isEligible(ask, *entry))
         return std::nullopt;
-    Choice choice;
+    Selection choice;
     choice.upstream = entry->id;
-    choice.unreadTokens = placed.unreadTokens;
+    choice.prefillTokens = placed.prefillTokens;
     choice.cost = placed.costMs;
-    choice.aheadTokens = placed.aheadTokens;
-    choice.isHome = placed.isHome;
-    choice.isBrief = placed.isBrief;
-    const UpstreamEntry *source = placed.fetchFrom ? directory.findTag(*placed.fetchFrom) : nullptr;
-    if (source != nullptr && directory.takesWork(*source) && UpstreamBook::isInRegion(ask, *source))
+    choice.tokensToFirstEvent = placed.tokensToFirstEvent;
+    choice.isPreferred = placed.isPreferred;
+    choice.isShortPrompt = placed.isShortPrompt;
+    const UpstreamEntry *source =
+        placed.fetchFrom ? directory.findByHash(*placed.fetchFrom) : nullptr;
+    if (source != nullptr && directory.takesWork(*source)
+        && UpstreamTable::isInRegion(ask, *source))
         choice.fetchFrom = source->id;
     return choice;
 }
@@ -249,18 +252,19 @@
 std::vector<UpstreamId> PlacementLink::backedOffIn(const GroupName &group)
 {
     std::vector<UpstreamId> found;
-    const UpstreamBackoffs &backoffs = m_state.book().backoffs();
+    const UpstreamBackoffs &backoffs = m_state.upstreams().backoffs();
     if (backoffs.isEmpty())
         return found;
     const Time now = RuntimeClock::now();
-    const std::set<UpstreamId> &members = m_state.groups().membersOf(group, m_state.directory());
+    const std::set<UpstreamId> &members = m_state.groups().groupMembers(group, m_state.directory());
     std::ranges::copy_if(members, std::back_inserter(found),
                          [&](const UpstreamId &id) { return backoffs.isBackedOff(id, now); });
     found.resize(std::min(found.size(), mostBackedOff));
     return found;
 }
 
-PlacementAsk PlacementLink::makeAsk(AskNumber number, const GroupName &group, const ChoiceAsk &ask)
+PlacementAsk PlacementLink::makeAsk(QueryId number, const GroupName &group,
+                                    const SelectionQuery &ask)
 {
     const UpstreamDirectory &directory = m_state.directory();
     PlacementAsk made;
@@ -274,18 +278,18 @@
         return AskedPart{part.id, static_cast<std::uint32_t>(part.tokens)};
     });
     if (ask.tried != nullptr)
-        std::ranges::transform(*ask.tried, std::back_inserter(made.avoided), tagOf);
-    std::ranges::transform(backedOffIn(group), std::back_inserter(made.avoided), tagOf);
-    const auto failing =
-        m_state.book().unhealthyOf(ask.service, directory, RuntimeClock::now(), mostFailing);
-    std::ranges::transform(failing, std::back_inserter(made.failing), tagOf);
-    made.targetMs = static_cast<std::uint32_t>(toMillis(ask.patience.target));
-    made.leftMs = static_cast<std::uint32_t>(std::max(0.0, toMillis(ask.patience.left)));
-    made.isMostUrgent = ask.patience.isMostUrgent;
-    made.rank = static_cast<std::uint8_t>(std::min(ask.patience.rank, 255U));
+        std::ranges::transform(*ask.tried, std::back_inserter(made.avoided), upstreamHash);
+    std::ranges::transform(backedOffIn(group), std::back_inserter(made.avoided), upstreamHash);
+    const auto failing = m_state.upstreams().unhealthyUpstreams(ask.service, directory,
+                                                                RuntimeClock::now(), mostFailing);
+    std::ranges::transform(failing, std::back_inserter(made.failing), upstreamHash);
+    made.targetMs = static_cast<std::uint32_t>(toMillis(ask.slack.target));
+    made.leftMs = static_cast<std::uint32_t>(std::max(0.0, toMillis(ask.slack.timeLeft)));
+    made.isMostUrgent = ask.slack.isMostUrgent;
+    made.rank = static_cast<std::uint8_t>(std::min(ask.slack.urgencyRank, 255U));
     made.mayRefuse = ask.mayRefuse;
-    if (ask.zones != nullptr)
-        made.zones = *ask.zones;
+    if (ask.permittedZones != nullptr)
+        made.zones = *ask.permittedZones;
     return made;
 }
 
@@ -298,12 +302,12 @@
     report.incarnation = m_peers.incarnation();
     report.sequence = m_peers.nextSequence();
     report.group = group;
-    report.openFrom = m_asks.openFrom();
+    report.oldestPendingQuery = m_asks.oldestPendingQuery();
     report.load = tagLoad(load);
-    report.pace = m_state.book().takePace(group.service);
+    report.pace = m_state.upstreams().takeRateSample(group.service);
     const Time now = RuntimeClock::now();
     report.limits =
-        m_peers.limitsToTell(now, &m_state.groups().membersOf(group, m_state.directory()));
+        m_peers.limitsToTell(now, &m_state.groups().groupMembers(group, m_state.directory()));
     report.leaving = m_peers.leavingToTell(now, &group.service);
     m_reported[group] = {load, RuntimeClock::now()};
     return report;
@@ -312,8 +316,8 @@
 PlacementLink::LoadByGroup PlacementLink::ownLoads()
 {
     LoadByGroup loads;
-    for (const auto &[id, load] : m_state.book().ownLoad()) {
-        if (const auto group = m_state.groups().groupOf(id, m_state.directory()))
+    for (const auto &[id, load] : m_state.upstreams().ownLoad()) {
+        if (const auto group = m_state.groups().findGroup(id, m_state.directory()))
             loads[*group].emplace(id, load);
     }
     return loads;
@@ -381,12 +385,12 @@
     if (!m_peers.takeSequence(report.from, report.incarnation, report.sequence))
         return;
     const std::set<UpstreamId> &group =
-        m_state.groups().membersOf(report.group, m_state.directory());
-    m_state.book().setPeerLoad(report.from,
-                               {untagLoad(report.load, m_state.directory()), report.openFrom},
-                               group, RuntimeClock::now());
+        m_state.groups().groupMembers(report.group, m_state.directory());
+    m_state.upstreams().setPeerLoad(
+        report.from, {untagLoad(report.load, m_state.directory()), report.oldestPendingQuery},
+        group, RuntimeClock::now());
     if (!report.pace.empty())
-        m_state.book().learnPace(report.group.service, report.pace);
+        m_state.upstreams().addRateSample(report.group.service, report.pace);
     m_state.learnLimits(untagLimits(report.limits, m_state.directory()), report.from);
     m_state.learnLeaving(report.leaving, report.from);
 }
@@ -405,49 +409,49 @@
                            [](const AskedPart &part) { return PromptPart{part.id, part.tokens}; });
     const Time now = RuntimeClock::now();
     std::set<UpstreamId> avoided;
-    for (const UpstreamTagNumber tag : ask.avoided) {
-        if (const UpstreamEntry *entry = directory.findTag(tag))
+    for (const UpstreamHash tag : ask.avoided) {
+        if (const UpstreamEntry *entry = directory.findByHash(tag))
             avoided.insert(entry->id);
     }
-    for (const UpstreamTagNumber tag : ask.failing) {
-        const UpstreamEntry *entry = directory.findTag(tag);
+    for (const UpstreamHash tag : ask.failing) {
+        const UpstreamEntry *entry = directory.findByHash(tag);
         if (entry == nullptr)
             continue;
         avoided.insert(entry->id);
-        m_state.book().reportedFailing(entry->id, ask.report.from, now);
+        m_state.upstreams().reportedFailing(entry->id, ask.report.from, now);
     }
-    ChoiceAsk wanted{group.service, ask.model, prompt, &avoided};
-    wanted.info = m_state.table() ? m_state.table()->service(group.service) : nullptr;
+    SelectionQuery wanted{group.service, ask.model, prompt, &avoided};
+    wanted.serviceInfo = m_state.table() ? m_state.table()->service(group.service) : nullptr;
     wanted.zone = &ask.zone;
-    wanted.group = &m_state.groups().membersOf(group, directory);
-    wanted.patience = {milliseconds(ask.targetMs), milliseconds(ask.leftMs), ask.isMostUrgent,
-                       ask.rank};
+    wanted.group = &m_state.groups().groupMembers(group, directory);
+    wanted.slack = {milliseconds(ask.targetMs), milliseconds(ask.leftMs), ask.isMostUrgent,
+                    ask.rank};
     wanted.mayRefuse = ask.mayRefuse;
-    wanted.zones = ask.zones ? &*ask.zones : nullptr;
-    wanted.isOwn = false;
-    wanted.placesForAll = true;
+    wanted.permittedZones = ask.zones ? &*ask.zones : nullptr;
+    wanted.isLocal = false;
+    wanted.isGroupScheduler = true;
     wanted.ownsLimits = ownsLimitsOf(group);
-    PlacedChoice chosen;
+    PlacementResult chosen;
     answer.isStopping = m_stopping;
     if (!m_stopping)
         chosen = choosePatiently(wanted);
-    const std::optional<Choice> &choice = chosen.choice;
-    if (chosen.comeBack)
-        answer.comeBackMs = static_cast<std::uint32_t>(toMillis(*chosen.comeBack));
+    const std::optional<Selection> &choice = chosen.selection;
+    if (chosen.retryAfter)
+        answer.comeBackMs = static_cast<std::uint32_t>(toMillis(*chosen.retryAfter));
     if (choice) {
-        m_state.book().granted(ask.report.from, ask.number, wanted, *choice, now);
+        m_state.upstreams().addPendingPlacement(ask.report.from, ask.number, wanted, *choice, now);
         PlacedCall placed;
-        placed.upstream = tagOf(choice->upstream);
-        placed.unreadTokens = static_cast<std::uint32_t>(choice->unreadTokens);
+        placed.upstream = upstreamHash(choice->upstream);
+        placed.prefillTokens = static_cast<std::uint32_t>(choice->prefillTokens);
         placed.costMs = static_cast<std::int32_t>(choice->cost);
-        placed.aheadTokens = static_cast<std::uint32_t>(choice->aheadTokens);
-        placed.isHome = choice->isHome;
-        placed.isBrief = choice->isBrief;
+        placed.tokensToFirstEvent = static_cast<std::uint32_t>(choice->tokensToFirstEvent);
+        placed.isPreferred = choice->isPreferred;
+        placed.isShortPrompt = choice->isShortPrompt;
         if (choice->fetchFrom)
-            placed.fetchFrom = tagOf(*choice->fetchFrom);
+            placed.fetchFrom = upstreamHash(*choice->fetchFrom);
         answer.placed = placed;
     }
-    count(choice ? Count::PlacementsGiven : Count::PlacementsDeclined);
+    count(choice ? Counter::PlacementsGiven : Counter::PlacementsDeclined);
     m_peers.sendTo(from, SealedKind::PlacementAnswer, encodePlacementAnswer(answer));
 }
 
@@ -455,7 +459,7 @@
 {
     if (answer.asker != m_peers.incarnation())
         return;
-    if (!m_asks.answered(answer.number, answer.from))
+    if (!m_asks.replyReceived(answer.number, answer.from))
         return;
     const auto it = m_waiters->find(answer.number);
     if (it == m_waiters->end())
--- a/src/peer/placementlink.h
+++ b/src/peer/placementlink.h
@@ -17,9 +17,9 @@
 
 #include <reachlead/counters.h>
 #include <reachlead/gatewaystate.h>
-#include <reachlead/openasks.h>
-#include <reachlead/placementadviser.h>
+#include <reachlead/pendingqueries.h>
 #include <reachlead/refusalorder.h>
+#include <reachlead/upstreamselector.h>
 
 #include "peer/gatewaypeers.h"
 #include "peer/placementmessages.h"
@@ -29,7 +29,7 @@
 /// Asks the scheduler of a call's group where to place it, answers such questions of others, and
 /// tells schedulers what this gateway's calls cause. Without an answer in time the gateway decides
 /// by what it knows itself. One thread.
-class PlacementLink : public PlacementAdviser
+class PlacementLink : public UpstreamSelector
 {
 public:
     struct Options
@@ -50,13 +50,13 @@
     };
 
     /// An unchanged load is told again after this long, as reports may be lost; a load counts for
-    /// UpstreamBook::peerLoadAge.
+    /// UpstreamTable::peerLoadLifetime.
     static constexpr Duration refreshInterval = seconds(1);
 
     PlacementLink(boost::asio::io_context &io, const Options &options, GatewayState &state,
                   GatewayPeers &peers);
 
-    boost::asio::awaitable<PlacedChoice> choose(ChoiceAsk ask) override;
+    boost::asio::awaitable<PlacementResult> select(SelectionQuery ask) override;
 
     /// Declines questions from now on, as the process is about to end.
     void beginStop() { m_stopping = true; }
@@ -72,7 +72,7 @@
         Timer timer;
         std::optional<PlacementAnswer> answer;
     };
-    using Waiters = std::map<AskNumber, Waiter *>;
+    using Waiters = std::map<QueryId, Waiter *>;
 
     /// What a scheduler was last told, or believes by its own answers.
     struct Reported
@@ -83,13 +83,13 @@
     using LoadByGroup = std::map<GroupName, LoadByUpstream>;
 
     boost::asio::awaitable<void> reportLoop();
-    boost::asio::awaitable<std::optional<PlacedChoice>>
-    askScheduler(VmName scheduler, GroupName group, ChoiceAsk ask);
-    PlacedChoice chooseHere(ChoiceAsk ask, const std::optional<GroupName> &group);
-    PlacedChoice choosePatiently(const ChoiceAsk &ask);
-    std::optional<Choice> readPlaced(const PlacedCall &placed, const ChoiceAsk &ask) const;
+    boost::asio::awaitable<std::optional<PlacementResult>>
+    askScheduler(VmName scheduler, GroupName group, SelectionQuery ask);
+    PlacementResult chooseHere(SelectionQuery ask, const std::optional<GroupName> &group);
+    PlacementResult choosePatiently(const SelectionQuery &ask);
+    std::optional<Selection> readPlaced(const PlacedCall &placed, const SelectionQuery &ask) const;
     std::vector<UpstreamId> backedOffIn(const GroupName &group);
-    PlacementAsk makeAsk(AskNumber number, const GroupName &group, const ChoiceAsk &ask);
+    PlacementAsk makeAsk(QueryId number, const GroupName &group, const SelectionQuery &ask);
     GroupLoad makeReport(const GroupName &group, const LoadByUpstream &load);
     LoadByGroup ownLoads();
     void sendReports();
@@ -101,14 +101,14 @@
     void sendTo(const VmName &vm, SealedKind kind, const std::string &payload);
     VmName schedulerFor(const GroupName &group);
     bool ownsLimitsOf(const GroupName &group);
-    std::optional<GroupName> groupOf(const ChoiceAsk &ask);
-    void count(Count c);
+    std::optional<GroupName> groupOf(const SelectionQuery &ask);
+    void count(Counter c);
 
     boost::asio::io_context &m_io;
     Options m_options;
     GatewayState &m_state;
     GatewayPeers &m_peers;
-    OpenAsks m_asks;
+    PendingQueries m_asks;
     std::shared_ptr<Waiters> m_waiters = std::make_shared<Waiters>();
     std::map<GroupName, Reported> m_reported;
     std::map<VmName, GatewayEntry> m_fleet; ///< as of m_fleetAt
--- a/src/peer/placementlink_statements_test.cpp
+++ b/src/peer/placementlink_statements_test.cpp
@@ -25,8 +25,8 @@
     static void limitAll(const Pair &pair, CallRate rate)
     {
         for (const UpstreamEntry &entry : Pair::upstreams(upstreamCount))
-            pair.asker->state.book().limits().heard(entry.id, rate, RuntimeClock::now(),
-                                                    vmTimeOfDay());
+            pair.asker->state.upstreams().limits().recordAnswer(entry.id, rate, RuntimeClock::now(),
+                                                                vmTimeOfDay());
     }
 
     void schedulerKeepsALimitThatItsAskerHeard()
@@ -37,7 +37,7 @@
             pair.ask();
             pair.advance(milliseconds(10));
         }
-        const std::uint64_t given = pair.scheduler->counters.value(Count::PlacementsGiven);
+        const std::uint64_t given = pair.scheduler->counters.value(Counter::PlacementsGiven);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{upstreamCount}, given);
     }
 
@@ -47,12 +47,12 @@
         pair.prompt.clear();
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed->by == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
         limitAll(pair, CallRate{1000});
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->by == pair.scheduler->state.vm());
+        CPPUNIT_ASSERT(pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
     }
 
     /// Only the asker got an answer that said so.
@@ -61,16 +61,16 @@
         Pair pair;
         pair.ask();
         pair.advance(milliseconds(10));
-        UpstreamStatement leaving;
+        UpstreamNotice leaving;
         leaving.isLeaving = true;
-        const UpstreamId leaver = pair.placed->choice->upstream;
-        pair.asker->state.upstreamSaid(leaver, leaving);
+        const UpstreamId leaver = pair.placed->selection->upstream;
+        pair.asker->state.applyNotice(leaver, leaving);
         for (int n = 0; n < 5; ++n) {
             pair.ask();
             pair.advance(milliseconds(10));
-            CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-            CPPUNIT_ASSERT(pair.placed->choice->upstream != leaver);
-            CPPUNIT_ASSERT(pair.placed->by == pair.scheduler->state.vm());
+            CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+            CPPUNIT_ASSERT(pair.placed->selection->upstream != leaver);
+            CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
         }
         const UpstreamDirectory &known = pair.scheduler->state.directory();
         CPPUNIT_ASSERT(!known.takesWork(*known.find(leaver)));
@@ -82,20 +82,20 @@
         Pair pair;
         pair.prompt = {{1, 100}, {2, 50}};
         const Time now = RuntimeClock::now();
-        pair.asker->state.book().backoffs().asked(UpstreamId("u0"), seconds(3), now);
-        pair.asker->state.book().backoffs().asked(UpstreamId("u1"), seconds(3), now);
-        pair.scheduler->state.book().backoffs().asked(UpstreamId("u2"), seconds(3), now);
+        pair.asker->state.upstreams().backoffs().add(UpstreamId("u0"), seconds(3), now);
+        pair.asker->state.upstreams().backoffs().add(UpstreamId("u1"), seconds(3), now);
+        pair.scheduler->state.upstreams().backoffs().add(UpstreamId("u2"), seconds(3), now);
         for (int n = 0; n < 5; ++n) {
             pair.ask();
             pair.advance(milliseconds(10));
-            CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-            CPPUNIT_ASSERT(pair.placed->choice->upstream == UpstreamId("u2"));
-            CPPUNIT_ASSERT(pair.placed->by == pair.scheduler->state.vm());
+            CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+            CPPUNIT_ASSERT(pair.placed->selection->upstream == UpstreamId("u2"));
+            CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
         }
-        pair.asker->state.book().backoffs().asked(UpstreamId("u2"), seconds(3), now);
+        pair.asker->state.upstreams().backoffs().add(UpstreamId("u2"), seconds(3), now);
         pair.ask();
         pair.advance(milliseconds(100));
-        CPPUNIT_ASSERT(pair.placed && !pair.placed->choice);
+        CPPUNIT_ASSERT(pair.placed && !pair.placed->selection);
     }
 
     /// The list of gateways names the lost one still, as the platform's store is away.
@@ -111,7 +111,7 @@
             for (Duration done{}; done < span; done += milliseconds(100)) {
                 pair.ask();
                 pair.advance(milliseconds(100));
-                placed += pair.placed && pair.placed->choice ? 1U : 0U;
+                placed += pair.placed && pair.placed->selection ? 1U : 0U;
             }
             return placed;
         };
--- a/src/peer/placementlink_test.cpp
+++ b/src/peer/placementlink_test.cpp
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT(back.has_value());
         CPPUNIT_ASSERT_EQUAL(encodePlacementAsk(ask), encodePlacementAsk(*back));
         CPPUNIT_ASSERT(back->report.group == ask.report.group);
-        CPPUNIT_ASSERT_EQUAL(AskNumber{11}, back->report.openFrom);
+        CPPUNIT_ASSERT_EQUAL(QueryId{11}, back->report.oldestPendingQuery);
         CPPUNIT_ASSERT_EQUAL(UnixMillis{7}, back->report.limits.at(0).stamp);
         CPPUNIT_ASSERT(back->report.leaving.at(0) == UpstreamId("u", 9));
         ask.report.limits.clear(); // most of the time no limit is in force, and none leaves
@@ -85,9 +85,9 @@
         Pair pair;
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->by == pair.scheduler->state.vm());
-        const UpstreamId at = pair.placed->choice->upstream;
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
+        const UpstreamId at = pair.placed->selection->upstream;
         CPPUNIT_ASSERT_EQUAL(1U, pair.scheduler->running(at));
         pair.advance(seconds(3)); // its own word of the load takes the place of the grant
         CPPUNIT_ASSERT_EQUAL(1U, pair.scheduler->running(at));
@@ -98,8 +98,9 @@
         Pair pair;
         pair.ask();
         pair.advance(milliseconds(10));
-        const Choice choice = pair.placed->choice.value();
-        pair.asker->state.book().ended(choice.upstream, choice.unreadTokens, choice.isBrief);
+        const Selection choice = pair.placed->selection.value();
+        pair.asker->state.upstreams().ended(choice.upstream, choice.prefillTokens,
+                                            choice.isShortPrompt);
         pair.advance(milliseconds(150));
         CPPUNIT_ASSERT_EQUAL(0U, pair.scheduler->running(choice.upstream));
     }
@@ -112,13 +113,13 @@
         pair.advance(milliseconds(40));
         CPPUNIT_ASSERT(!pair.placed);
         pair.advance(milliseconds(40));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->by == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
         pair.ask(); // it places by itself for a while
         pair.advance(milliseconds(5));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                             pair.asker->counters.value(Count::PlacementsUnanswered));
+                             pair.asker->counters.value(Counter::PlacementsUnanswered));
     }
 
     void stoppingSchedulerDeclinesAtOnce()
@@ -127,10 +128,10 @@
         pair.scheduler->link.beginStop();
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->by == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                             pair.scheduler->counters.value(Count::PlacementsDeclined));
+                             pair.scheduler->counters.value(Counter::PlacementsDeclined));
     }
 
     /// All upstreams are cold and had their share. Were the scheduler passed over for that, the
@@ -143,7 +144,7 @@
         config.version = 1;
         config.services.emplace_back();
         config.services.back().name = ServiceName("llm");
-        config.services.back().coldPerSecond = 1;
+        config.services.back().coldCallsPerSecond = 1;
         std::vector<UpstreamEntry> cold = upstreams(upstreamCount);
         for (UpstreamEntry &entry : cold) {
             entry.coldLeftMs = 2'000;
@@ -159,14 +160,15 @@
         }
         pair.advance(milliseconds(50)); // the last question is read, also on a busy machine
         const Counters &counters = pair.scheduler->counters;
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{upstreamCount}, counters.value(Count::PlacementsGiven));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{upstreamCount},
+                             counters.value(Counter::PlacementsGiven));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10 - upstreamCount},
-                             counters.value(Count::PlacementsDeclined));
+                             counters.value(Counter::PlacementsDeclined));
         pair.advance(seconds(2));
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->by == pair.scheduler->state.vm());
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
     }
 
     /// An answer that was held up until its call had gone elsewhere leaves no load behind.
@@ -177,7 +179,7 @@
         // The datagram waits unread while the clock passes the limit.
         RuntimeClock::advance(milliseconds(70));
         pair.advance(milliseconds(200));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         std::uint32_t running = 0;
         for (const UpstreamEntry &entry : upstreams(upstreamCount))
             running += pair.scheduler->running(entry.id);
@@ -190,14 +192,14 @@
         // The asker knows a later registry, without the upstream that the scheduler will name.
         pair.ask();
         pair.advance(milliseconds(10));
-        const UpstreamId gone = pair.placed->choice->upstream;
+        const UpstreamId gone = pair.placed->selection->upstream;
         std::vector<UpstreamEntry> left = upstreams(upstreamCount);
         std::erase_if(left, [&](const UpstreamEntry &entry) { return entry.id == gone; });
         pair.asker->state.upstreamsListed(left, 2);
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->choice->upstream != gone);
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->selection->upstream != gone);
     }
 
     void strangerPlacesNothing()
@@ -205,11 +207,11 @@
         Pair pair("a key of somebody else");
         pair.ask();
         pair.advance(milliseconds(80));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
-        CPPUNIT_ASSERT(pair.placed->by == pair.asker->state.vm());
-        CPPUNIT_ASSERT(pair.scheduler->counters.value(Count::HostileFrames) > 0);
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.scheduler->counters.value(Counter::HostileFrames) > 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             pair.scheduler->counters.value(Count::PlacementsGiven));
+                             pair.scheduler->counters.value(Counter::PlacementsGiven));
     }
 
     void callThatCannotBeginInTimeIsRefused()
@@ -218,16 +220,16 @@
         pair.load(70'000); // 2 s of reading
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed && !pair.placed->choice && pair.placed->comeBack);
-        CPPUNIT_ASSERT(*pair.placed->comeBack
+        CPPUNIT_ASSERT(pair.placed && !pair.placed->selection && pair.placed->retryAfter);
+        CPPUNIT_ASSERT(*pair.placed->retryAfter
                        > milliseconds(1840)); // 2 s less a quarter of the target
-        CPPUNIT_ASSERT(*pair.placed->comeBack < milliseconds(1860));
+        CPPUNIT_ASSERT(*pair.placed->retryAfter < milliseconds(1860));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             pair.asker->counters.value(Count::PlacementsUnanswered));
+                             pair.asker->counters.value(Counter::PlacementsUnanswered));
         pair.load(3'500); // 0.1 s
         pair.ask();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
     }
 
     void withoutItsSchedulerNothingIsRefused()
@@ -236,23 +238,23 @@
         LoadByUpstream load;
         for (const UpstreamEntry &entry : upstreams(upstreamCount))
             load[entry.id] = {1, 70'000, 0};
-        pair.asker->state.book().setPeerLoad(VmName("third"), {load}, RuntimeClock::now());
+        pair.asker->state.upstreams().setPeerLoad(VmName("third"), {load}, RuntimeClock::now());
         pair.scheduler->peers.stop();
         pair.ask();
         pair.advance(milliseconds(80));
-        CPPUNIT_ASSERT(pair.placed && pair.placed->choice);
+        CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
     }
 
     void schedulerLearnsThePace()
     {
         Pair pair;
         const ServiceName service("llm");
-        const double before = pair.scheduler->state.book().paceOf(service).tokensPerMs();
+        const double before = pair.scheduler->state.upstreams().serviceRate(service).tokensPerMs();
         for (int n = 0; n < 5; ++n)
-            pair.asker->state.book().noteRead(service, 10'000, seconds(1));
+            pair.asker->state.upstreams().recordPrefill(service, 10'000, seconds(1));
         pair.ask();
         pair.advance(milliseconds(10));
-        const double after = pair.scheduler->state.book().paceOf(service).tokensPerMs();
+        const double after = pair.scheduler->state.upstreams().serviceRate(service).tokensPerMs();
         CPPUNIT_ASSERT(before > 30 && after < 20);
     }
 };
--- a/src/peer/placementmessages.h
+++ b/src/peer/placementmessages.h
@@ -24,15 +24,15 @@
     Incarnation incarnation;
     std::uint64_t sequence = 0; ///< of all that this life of the gateway sends
     GroupName group;
-    AskNumber openFrom = 0; ///< as in ToldLoad
+    QueryId oldestPendingQuery = 0; ///< as in ReportedLoad
     std::vector<TaggedLoad> load;
-    PaceSample pace; ///< of the group's service, seen since the last report
+    RateSample pace; ///< of the group's service, seen since the last report
     std::vector<TaggedLimit> limits; ///< of the group's upstreams, heard lately
     std::vector<UpstreamId> leaving; ///< of the group's service, that said so lately
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(from, incarnation, sequence, group, openFrom, load, pace, limits, leaving);
+        ar(from, incarnation, sequence, group, oldestPendingQuery, load, pace, limits, leaving);
     }
 };
 
@@ -49,19 +49,19 @@
 struct PlacementAsk
 {
     GroupLoad report; ///< what the asker has there already
-    AskNumber number = 0;
+    QueryId number = 0;
     ZoneName zone; ///< of the asker
     std::string model;
     std::vector<AskedPart> prompt;
     /// Not to be taken: tried by this call in vain, or the asker was asked to back off.
-    std::vector<UpstreamTagNumber> avoided;
-    std::vector<UpstreamTagNumber> failing; ///< by the asker's evidence
+    std::vector<UpstreamHash> avoided;
+    std::vector<UpstreamHash> failing; ///< by the asker's evidence
     std::uint32_t targetMs = 0; ///< to the first event; 0: none is promised
     std::uint32_t leftMs = 0; ///< until the caller gives up
     bool isMostUrgent = false; ///< as in Patience
     std::uint8_t rank = 0; ///< as in Patience
-    bool mayRefuse = false; ///< as in ChoiceAsk
-    std::optional<ZoneSet> zones; ///< as in ChoiceAsk
+    bool mayRefuse = false; ///< as in SelectionQuery
+    std::optional<ZoneSet> zones; ///< as in SelectionQuery
 
     template <class Archive> void serialize(Archive &ar)
     {
@@ -78,17 +78,18 @@
 /// Where a call is to be placed.
 struct PlacedCall
 {
-    UpstreamTagNumber upstream = 0;
-    std::uint32_t unreadTokens = 0;
+    UpstreamHash upstream = 0;
+    std::uint32_t prefillTokens = 0;
     std::int32_t costMs = 0;
-    std::uint32_t aheadTokens = 0; ///< as in Choice
-    bool isHome = false;
-    bool isBrief = false;
-    std::optional<UpstreamTagNumber> fetchFrom;
+    std::uint32_t tokensToFirstEvent = 0; ///< as in Choice
+    bool isPreferred = false;
+    bool isShortPrompt = false;
+    std::optional<UpstreamHash> fetchFrom;
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(upstream, unreadTokens, costMs, aheadTokens, isHome, isBrief, fetchFrom);
+        ar(upstream, prefillTokens, costMs, tokensToFirstEvent, isPreferred, isShortPrompt,
+           fetchFrom);
     }
 };
 
@@ -97,7 +98,7 @@
 {
     VmName from;
     Incarnation asker; ///< the life of the gateway that asked
-    AskNumber number = 0;
+    QueryId number = 0;
     std::optional<PlacedCall> placed; ///< none: decide by yourself, unless it is refused
     std::optional<std::uint32_t> comeBackMs; ///< refused until then
     bool isStopping = false; ///< another gateway is to be asked from now on
--- a/src/peer/placementpair.h
+++ b/src/peer/placementpair.h
@@ -79,13 +79,13 @@
         {
             PlacementLink::Options made;
             made.counters = counters;
-            made.refusal.targets = 0.25;
+            made.refusal.waitTargets = 0.25;
             return made;
         }
         GatewayEntry entry() const { return peers.self(); }
         std::uint32_t running(const UpstreamId &id)
         {
-            return state.book().loadOf(id, RuntimeClock::now()).running;
+            return state.upstreams().load(id, RuntimeClock::now()).running;
         }
 
         Counters counters;
@@ -99,7 +99,7 @@
         RuntimeClock::pause(start);
         const GroupName group{ServiceName("llm"), 0};
         const std::set<VmName> names{VmName("a"), VmName("b")};
-        const VmName first = *schedulerOf(group, names);
+        const VmName first = *electScheduler(group, names);
         const VmName second = first == VmName("a") ? VmName("b") : VmName("a");
         scheduler = std::make_unique<Node>(io, first.text, otherKey);
         asker = std::make_unique<Node>(io, second.text, "the key of this fleet");
@@ -137,13 +137,13 @@
     }
     boost::asio::awaitable<void> askOnce()
     {
-        ChoiceAsk wanted{ServiceName("llm"), "m", prompt, nullptr};
-        wanted.patience = {milliseconds(600), seconds(6), false};
+        SelectionQuery wanted{ServiceName("llm"), "m", prompt, nullptr};
+        wanted.slack = {milliseconds(600), seconds(6), false};
         wanted.mayRefuse = true;
-        PlacedChoice got = co_await asker->link.choose(wanted);
-        if (got.choice)
-            asker->state.book().sent(got.choice->upstream, wanted, *got.choice,
-                                     RuntimeClock::now());
+        PlacementResult got = co_await asker->link.select(wanted);
+        if (got.selection)
+            asker->state.upstreams().sent(got.selection->upstream, wanted, *got.selection,
+                                          RuntimeClock::now());
         placed = std::move(got);
     }
 
@@ -153,14 +153,14 @@
         LoadByUpstream load;
         for (const UpstreamEntry &entry : upstreams(upstreamCount))
             load[entry.id] = {1, tokens, 0};
-        scheduler->state.book().setPeerLoad(VmName("third"), {load}, RuntimeClock::now());
+        scheduler->state.upstreams().setPeerLoad(VmName("third"), {load}, RuntimeClock::now());
     }
 
     std::vector<PromptPart> prompt{{1, 4'000}, {2, 3'000}};
     boost::asio::io_context io{1};
     std::unique_ptr<Node> scheduler;
     std::unique_ptr<Node> asker;
-    std::optional<PlacedChoice> placed;
+    std::optional<PlacementResult> placed;
 };
 
 } // namespace reachlead
