--- a/src/peer/sessionserver.cpp
+++ b/src/peer/sessionserver.cpp
@@ -102,7 +102,7 @@
 {
     const std::string text = helloText(m_ownNonces[session], m_options.vm, hello);
     if (!m_options.keys->keys().verify(text, hello.proof)) {
-        m_options.counters->add(Count::HostileFrames);
+        m_options.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Error, "router-not-of-the-fleet").with("router", hello.vm.text);
         return false;
     }
@@ -115,7 +115,7 @@
     std::string reason;
     const std::optional<ToAgent> message = decodeToAgent(payload, &reason);
     if (!message) {
-        m_options.counters->add(Count::HostileFrames);
+        m_options.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Warn, "bad-frame")
             .with("session", static_cast<std::uint64_t>(session))
             .with("reason", reason);
@@ -155,12 +155,12 @@
         it->second->close(action.reason);
 }
 
-void SessionServer::perform(StartUpstream &action)
+void SessionServer::perform(StartUpstreamCall &action)
 {
     m_outlets.start(action);
 }
 
-void SessionServer::perform(CancelUpstream &action)
+void SessionServer::perform(CancelUpstreamCall &action)
 {
     m_outlets.cancel(action);
 }
@@ -215,7 +215,7 @@
         m_heartbeats.send_to(asio::buffer(encodeHeartbeat(beat)), udp::endpoint(address, port), 0,
                              ec);
         if (!ec)
-            m_options.counters->add(Count::HeartbeatsSent);
+            m_options.counters->add(Counter::HeartbeatsSent);
     }
 }
 
--- a/src/peer/sessionserver.h
+++ b/src/peer/sessionserver.h
@@ -45,8 +45,8 @@
     /// Where the actions for other threads go; called on the gate thread.
     struct Outlets
     {
-        std::function<void(const StartUpstream &)> start;
-        std::function<void(const CancelUpstream &)> cancel;
+        std::function<void(const StartUpstreamCall &)> start;
+        std::function<void(const CancelUpstreamCall &)> cancel;
         std::function<void(const MakeClaim &)> claim;
         std::function<void(const ReleaseClaim &)> release;
     };
@@ -81,8 +81,8 @@
     void act();
     void perform(SendToRouter &action);
     void perform(CloseSession &action);
-    void perform(StartUpstream &action);
-    void perform(CancelUpstream &action);
+    void perform(StartUpstreamCall &action);
+    void perform(CancelUpstreamCall &action);
     void perform(MakeClaim &action);
     void perform(ReleaseClaim &action);
     void scheduleTick();
--- a/src/peer/usagelink.cpp
+++ b/src/peer/usagelink.cpp
@@ -14,7 +14,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include <reachlead/log.h>
-#include <reachlead/watchduty.h>
+#include <reachlead/watcherelection.h>
 
 #include "peer/payload.h"
 
@@ -57,7 +57,7 @@
     asio::co_spawn(io, dutyLoop(), asio::detached);
 }
 
-void UsageLink::count(Count c)
+void UsageLink::count(Counter c)
 {
     if (m_options.counters != nullptr)
         m_options.counters->add(c);
@@ -66,7 +66,7 @@
 void UsageLink::began(const AccountName &account)
 {
     if (m_options.isOn)
-        m_book.began(account, m_peers.timeOfDay());
+        m_book.countCall(account, m_peers.timeOfDay());
 }
 
 void UsageLink::stop()
@@ -86,8 +86,8 @@
 {
     m_others.clear();
     std::ranges::transform(m_peers.livesHeard(lifeAge), std::inserter(m_others, m_others.end()),
-                           &GatewayLife::vm);
-    m_rank = rankAmong(m_book.self().vm, m_others);
+                           &GatewayIncarnation::vm);
+    m_rank = rendezvousPosition(m_book.self().vm, m_others);
 }
 
 void UsageLink::tell(const udp::endpoint &to, const WindowUsage &usage)
@@ -98,14 +98,14 @@
 /// Tells this gateway's collectors what it counted since it last told them.
 void UsageLink::tellCollectors(bool isLast)
 {
-    const std::vector<VmName> first = firstFor(m_book.self().vm, m_others, collectors);
+    const std::vector<VmName> first = rendezvousPeers(m_book.self().vm, m_others, collectors);
     if (std::exchange(m_toldTo, first) != first)
         m_told.clear();
     const std::map<VmName, GatewayEntry> fleet = m_peers.fleet();
     const UnixMillis now = m_peers.timeOfDay();
-    const WindowNumber current = m_book.windowOf(now);
+    const WindowNumber current = m_book.windowAt(now);
     for (const WindowNumber window : {current - 1, current}) {
-        WindowUsage usage = m_book.own(window, now);
+        WindowUsage usage = m_book.ownUsage(window, now);
         usage.isFinal = usage.isFinal || isLast;
         const std::uint64_t calls = callsOf(usage.counts);
         if (std::exchange(m_told[window], calls) == calls && !isLast)
@@ -130,9 +130,9 @@
             co_return;
         refreshOthers();
         tellCollectors(false);
-        const WindowNumber current = m_book.windowOf(m_peers.timeOfDay());
-        m_book.dropBefore(current - UsageBook::mostWindows);
-        m_asked.erase(m_asked.begin(), m_asked.lower_bound(current - UsageBook::mostWindows));
+        const WindowNumber current = m_book.windowAt(m_peers.timeOfDay());
+        m_book.dropBefore(current - UsageTable::maxWindows);
+        m_asked.erase(m_asked.begin(), m_asked.lower_bound(current - UsageTable::maxWindows));
     }
 }
 
@@ -143,7 +143,7 @@
         if (const auto ask = pvt::decodePayload<UsageAsk>(message, &reason))
             takeAsk(*ask, from);
     } else if (const auto told = pvt::decodePayload<WindowUsage>(message, &reason)) {
-        m_book.learn(*told);
+        m_book.merge(*told);
     }
     if (!reason.empty())
         LogLine(LogLevel::Warn, "peer-datagram-refused").with("reason", reason);
@@ -152,9 +152,9 @@
 /// Answers with this gateway's counts, and with those of gateways that can no longer answer.
 void UsageLink::takeAsk(const UsageAsk &ask, const udp::endpoint &from)
 {
-    tell(from, m_book.own(ask.window, m_peers.timeOfDay()));
-    const std::set<GatewayLife> live = m_peers.livesHeard(GatewayPeers::peerLimit);
-    for (const WindowUsage &usage : m_book.ofEnded(live, ask.window))
+    tell(from, m_book.ownUsage(ask.window, m_peers.timeOfDay()));
+    const std::set<GatewayIncarnation> live = m_peers.livesHeard(GatewayPeers::peerLimit);
+    for (const WindowUsage &usage : m_book.exitedUsage(live, ask.window))
         tell(from, usage);
 }
 
@@ -179,7 +179,7 @@
     if (it == m_asked.end())
         return false;
     return it->second.first + askLimit <= RuntimeClock::now()
-        || std::ranges::all_of(m_peers.livesHeard(lifeAge), [&](const GatewayLife &life) {
+        || std::ranges::all_of(m_peers.livesHeard(lifeAge), [&](const GatewayIncarnation &life) {
                return m_book.isFinal(life, window);
            });
 }
@@ -193,22 +193,22 @@
     Duration delay = holderDelay;
     if (!m_duty.isHolder())
         delay = standbyDelay + standbyStep * static_cast<std::int64_t>(m_rank);
-    return m_book.windowOf(m_peers.timeOfDay() - millisOf(delay)) - 1;
+    return m_book.windowAt(m_peers.timeOfDay() - millisOf(delay)) - 1;
 }
 
 UsageAction UsageLink::nextAction()
 {
     UsageView view;
     view.now = RuntimeClock::now();
-    view.due = lastDue();
-    const WindowNumber window = m_duty.wanted(view.due);
-    const bool isOurs = m_duty.isHolder() || !m_duty.known();
-    if (window <= view.due) {
+    view.dueWindow = lastDue();
+    const WindowNumber window = m_duty.nextWindow(view.dueWindow);
+    const bool isOurs = m_duty.isHolder() || !m_duty.lastKnown();
+    if (window <= view.dueWindow) {
         if (isOurs)
             ask(window);
         view.counts = m_book.total(window);
         view.isComplete = isComplete(window);
-        for (WindowNumber it = window; it <= view.due; ++it)
+        for (WindowNumber it = window; it <= view.dueWindow; ++it)
             view.hasCalls = view.hasCalls || !m_book.total(it).empty();
     }
     return m_duty.next(view);
@@ -234,7 +234,7 @@
 asio::awaitable<void> UsageLink::perform(UsageAction action)
 {
     switch (action.step) {
-    case UsageStep::Rest:
+    case UsageStep::Idle:
         co_return;
     case UsageStep::Skip:
         m_duty.skip(action.record.window);
@@ -253,9 +253,9 @@
 
 asio::awaitable<void> UsageLink::read()
 {
-    const UsageAnswer answer = co_await m_platform->read();
-    if (answer.end == UsageEnd::Done) {
-        m_duty.wasRead(answer.stored, RuntimeClock::now());
+    const UsageReply answer = co_await m_platform->read();
+    if (answer.result == UsageResult::Done) {
+        m_duty.onRead(answer.stored, RuntimeClock::now());
         noteHolder();
     } else {
         noteFailure("read", answer);
@@ -266,25 +266,25 @@
 {
     const Time began = RuntimeClock::now();
     const UsageRecord record = action.record;
-    const UsageAnswer answer = co_await m_platform->write(record, action.revision);
-    if (answer.end == UsageEnd::Done) {
-        m_duty.wasWritten(record, answer.revision, began);
+    const UsageReply answer = co_await m_platform->write(record, action.revision);
+    if (answer.result == UsageResult::Done) {
+        m_duty.onWritten(record, answer.revision, began);
         if (action.isTakeover)
-            count(Count::UsageTakeovers);
+            count(Counter::UsageTakeovers);
         noteHolder();
         co_return;
     }
-    m_duty.isUnsure();
-    if (answer.end != UsageEnd::Conflict)
+    m_duty.invalidate();
+    if (answer.result != UsageResult::Conflict)
         noteFailure("write", answer);
 }
 
 asio::awaitable<void> UsageLink::send(UsageAction action)
 {
     const UsageRecord record = action.record;
-    const UsageAnswer answer = co_await m_platform->send(record, action.limit);
-    if (answer.end != UsageEnd::Done) {
-        count(Count::UsageSendsFailed);
+    const UsageReply answer = co_await m_platform->send(record, action.limit);
+    if (answer.result != UsageResult::Done) {
+        count(Counter::UsageSendsFailed);
         noteFailure("send", answer);
         if (++m_failures >= mostFailures && !m_others.empty()) {
             m_restUntil = RuntimeClock::now() + m_options.window + standbyDelay + m_options.lease;
@@ -293,18 +293,18 @@
         co_return;
     }
     m_failures = 0;
-    m_duty.wasSent(record);
-    count(Count::UsageWindowsSent);
+    m_duty.onSent(record);
+    count(Counter::UsageWindowsSent);
     LogLine(LogLevel::Info, "usage-reported")
         .with("window", record.window)
         .with("token", record.token)
         .with("accounts", record.counts.size())
         .with("calls", callsOf(record.counts))
-        .with("age_ms", m_peers.timeOfDay() - m_book.endOf(record.window))
+        .with("age_ms", m_peers.timeOfDay() - m_book.windowEnd(record.window))
         .with("gateways", m_peers.livesHeard(lifeAge).size() + 1);
 }
 
-void UsageLink::noteFailure(std::string_view step, const UsageAnswer &answer)
+void UsageLink::noteFailure(std::string_view step, const UsageReply &answer)
 {
     LogLine(LogLevel::Warn, "usage-call-failed").with("step", step).with("reason", answer.reason);
     m_restUntil = std::max(m_restUntil, RuntimeClock::now() + failurePause);
@@ -312,9 +312,9 @@
 
 void UsageLink::noteHolder()
 {
-    if (!m_duty.known() || m_duty.known()->record.holder == m_holder)
+    if (!m_duty.lastKnown() || m_duty.lastKnown()->record.holder == m_holder)
         return;
-    const UsageRecord &record = m_duty.known()->record;
+    const UsageRecord &record = m_duty.lastKnown()->record;
     m_holder = record.holder;
     LogLine(LogLevel::Info, "usage-holder")
         .with("holder", record.holder.vm.text)
--- a/src/peer/usagelink.h
+++ b/src/peer/usagelink.h
@@ -16,9 +16,9 @@
 #include <boost/asio/ip/udp.hpp>
 
 #include <reachlead/counters.h>
-#include <reachlead/usagebook.h>
-#include <reachlead/usageduty.h>
 #include <reachlead/usageplatform.h>
+#include <reachlead/usagereporter.h>
+#include <reachlead/usagetable.h>
 
 #include "peer/gatewaypeers.h"
 
@@ -55,7 +55,7 @@
     /// Ends the duty; what was counted is told to those that stay.
     void stop();
 
-    const UsageDuty &duty() const { return m_duty; }
+    const UsageReporter &duty() const { return m_duty; }
 
     /// Gateways that may become the holder, by rank: enough that some of them live and reach the
     /// store whatever fails together. Each reads the record once a window.
@@ -66,7 +66,7 @@
     /// counts with it.
     static constexpr Duration tellInterval = milliseconds(500);
     /// From a window's end until its holder asks for counts: they have settled by then.
-    static constexpr Duration holderDelay = UsageBook::settleTime + milliseconds(100);
+    static constexpr Duration holderDelay = UsageTable::settleTime + milliseconds(100);
     /// From a window's end until the first other candidate looks whether it was reported, and from
     /// each candidate to the next.
     static constexpr Duration standbyDelay = milliseconds(2500);
@@ -102,22 +102,22 @@
     void take(SealedKind kind, std::string_view message,
               const boost::asio::ip::udp::endpoint &from);
     void takeAsk(const UsageAsk &ask, const boost::asio::ip::udp::endpoint &from);
-    void noteFailure(std::string_view step, const UsageAnswer &answer);
+    void noteFailure(std::string_view step, const UsageReply &answer);
     void noteHolder();
-    void count(Count c);
+    void count(Counter c);
 
     boost::asio::io_context &m_io;
     Options m_options;
     GatewayPeers &m_peers;
     std::unique_ptr<UsagePlatform> m_platform;
-    UsageBook m_book;
-    UsageDuty m_duty;
+    UsageTable m_book;
+    UsageReporter m_duty;
     std::set<VmName> m_others; ///< that live, as of the last telling
     std::size_t m_rank = 0; ///< of this gateway among them
     std::map<WindowNumber, Asked> m_asked;
     std::map<WindowNumber, std::uint64_t> m_told; ///< calls that the collectors heard of
     std::vector<VmName> m_toldTo;
-    GatewayLife m_holder; ///< that was logged last
+    GatewayIncarnation m_holder; ///< that was logged last
     unsigned m_failures = 0; ///< of reports, in a row
     Time m_restUntil{};
     bool m_stopped = false;
--- a/src/peer/usagelink_test.cpp
+++ b/src/peer/usagelink_test.cpp
@@ -39,41 +39,41 @@
 public:
     UsagePlatformStandin(UsageWorld &world, VmName vm) : m_world(world), m_vm(std::move(vm)) { }
 
-    boost::asio::awaitable<UsageAnswer> read() override
+    boost::asio::awaitable<UsageReply> read() override
     {
         ++m_world.calls;
-        UsageAnswer answer;
-        answer.end = isAway() ? UsageEnd::Unknown : UsageEnd::Done;
+        UsageReply answer;
+        answer.result = isAway() ? UsageResult::Unknown : UsageResult::Done;
         answer.stored = m_world.stored;
         co_return answer;
     }
 
-    boost::asio::awaitable<UsageAnswer> write(UsageRecord record,
-                                              std::optional<std::uint64_t> revision) override
+    boost::asio::awaitable<UsageReply> write(UsageRecord record,
+                                             std::optional<std::uint64_t> revision) override
     {
         ++m_world.calls;
-        UsageAnswer answer;
+        UsageReply answer;
         if (isAway())
             co_return answer;
         const bool fits =
             revision ? m_world.stored && m_world.stored->revision == *revision : !m_world.stored;
-        answer.end = fits ? UsageEnd::Done : UsageEnd::Conflict;
+        answer.result = fits ? UsageResult::Done : UsageResult::Conflict;
         if (fits)
             m_world.stored = StoredUsage{std::move(record), revision.value_or(0) + 1};
         answer.revision = revision.value_or(0) + 1;
         if (m_world.losesAnswers)
-            answer.end = UsageEnd::Unknown;
+            answer.result = UsageResult::Unknown;
         co_return answer;
     }
 
-    boost::asio::awaitable<UsageAnswer> send(UsageRecord record, Duration /*limit*/) override
+    boost::asio::awaitable<UsageReply> send(UsageRecord record, Duration /*limit*/) override
     {
         ++m_world.calls;
-        UsageAnswer answer;
+        UsageReply answer;
         if (m_world.turnedAway.contains(m_vm) || m_world.dead.contains(m_vm))
             co_return answer;
         m_world.taken[record.window].push_back({record.holder.vm, record.token, record.counts});
-        answer.end = UsageEnd::Done;
+        answer.result = UsageResult::Done;
         co_return answer;
     }
 
--- a/src/reachlead-agent/agentdaemon.cpp
+++ b/src/reachlead-agent/agentdaemon.cpp
@@ -28,7 +28,7 @@
 void apply(AgentCore &core, UpstreamAnswer &event, Time now)
 {
     if (event.retryAfter)
-        core.upstreamAskedToBackOff(*event.retryAfter, now);
+        core.upstreamRequestedBackoff(*event.retryAfter, now);
     core.upstreamAnswer(event.key, event.reply.status, std::move(event.reply.headers),
                         std::move(event.reply.body), now);
 }
@@ -36,13 +36,13 @@
 void apply(AgentCore &core, UpstreamFailure &event, Time now)
 {
     if (event.retryAfter)
-        core.upstreamAskedToBackOff(*event.retryAfter, now);
-    if (event.upstreamEnded)
-        core.upstreamEnded(event.key, now);
+        core.upstreamRequestedBackoff(*event.retryAfter, now);
+    if (event.upstreamExited)
+        core.upstreamExited(event.key, now);
     core.upstreamFailed(event.key, event.kind, event.outcome, event.reason, now);
 }
 
-HttpReply jsonReply(std::string body)
+HttpResponse jsonReply(std::string body)
 {
     return {200, {{"Content-Type", "application/json"}}, std::move(body)};
 }
@@ -62,8 +62,8 @@
         m_sessions->post([this](AgentCore &core) { takeUpstreamEvents(core); });
     });
     SessionServer::Outlets outlets;
-    outlets.start = [this](const StartUpstream &call) { m_upstream->start(call); };
-    outlets.cancel = [this](const CancelUpstream &call) { m_upstream->cancel(call); };
+    outlets.start = [this](const StartUpstreamCall &call) { m_upstream->start(call); };
+    outlets.cancel = [this](const CancelUpstreamCall &call) { m_upstream->cancel(call); };
     outlets.claim = [this](const MakeClaim &c) { claim(c); };
     outlets.release = [this](const ReleaseClaim &c) {
         if (m_claims)
@@ -100,9 +100,9 @@
     options.service = *m_settings.platform;
     options.callLimit = m_settings.platformLimit;
     options.counters = &m_counters;
-    m_claims = std::make_unique<ClaimWriter>(options, [this](const ClaimEnded &ended) {
+    m_claims = std::make_unique<ClaimWriter>(options, [this](const ClaimCompleted &ended) {
         m_sessions->post([ended](AgentCore &core) {
-            core.claimEnded(ended.key, ended.result, RuntimeClock::now());
+            core.claimCompleted(ended.key, ended.result, RuntimeClock::now());
         });
     });
 }
@@ -114,7 +114,7 @@
         return;
     }
     m_sessions->post([key = claim.key](AgentCore &core) {
-        core.claimEnded(key, ClaimResult::StoreDown, RuntimeClock::now());
+        core.claimCompleted(key, ClaimResult::StoreDown, RuntimeClock::now());
     });
 }
 
@@ -141,7 +141,7 @@
 std::map<std::string, AdminServer::Page> AgentDaemon::pages()
 {
     const auto drains = [this](bool drain) {
-        return [this, drain](const HttpAsk &) {
+        return [this, drain](const HttpRequest &) {
             m_sessions->post([drain](AgentCore &core) {
                 if (drain)
                     core.drain();
@@ -152,7 +152,8 @@
         };
     };
     return {
-        {"GET /status", {AdminRole::Read, [this](const HttpAsk &) { return jsonReply(status()); }}},
+        {"GET /status",
+         {AdminRole::Read, [this](const HttpRequest &) { return jsonReply(status()); }}},
         {"POST /drain", {AdminRole::Write, drains(true)}},
         {"POST /undrain", {AdminRole::Write, drains(false)}},
     };
--- a/src/reachlead-agent/agentsettings.cpp
+++ b/src/reachlead-agent/agentsettings.cpp
@@ -19,9 +19,9 @@
     SessionServer::Options &sessions = out->sessions;
     std::string model;
     std::string service;
-    std::int64_t least = sessions.tuning.window.least;
-    std::int64_t first = sessions.tuning.window.first;
-    std::int64_t most = sessions.tuning.window.most;
+    std::int64_t least = sessions.tuning.window.minSize;
+    std::int64_t first = sessions.tuning.window.initialSize;
+    std::int64_t most = sessions.tuning.window.maxSize;
     auto queueBound = static_cast<std::int64_t>(sessions.tuning.queueBound);
     Endpoint listen{sessions.address, sessions.port};
     IniReader reader(file, "agent");
--- a/src/reachlead-gateway/gatewaydaemon.cpp
+++ b/src/reachlead-gateway/gatewaydaemon.cpp
@@ -61,12 +61,12 @@
 
 } // namespace
 
-GatewayDaemon::GatewayDaemon(const GatewaySettings &settings, const Dialect &dialect,
+GatewayDaemon::GatewayDaemon(const GatewaySettings &settings, const HeaderCodec &headerCodec,
                              const MakeSource &source, const MakeUsagePlatform &usagePlatform,
                              Reload reload)
-    : m_settings(settings), m_dialect(dialect), m_signals(m_io, SIGTERM, SIGINT, SIGHUP),
-      m_state(settings.state),
-      m_shared{m_io, m_state, dialect, m_counters, m_latencies, UpstreamPool(m_io.get_executor())},
+    : m_settings(settings), m_headerCodec(headerCodec), m_signals(m_io, SIGTERM, SIGINT, SIGHUP),
+      m_state(settings.state), m_shared{m_io,       m_state,     headerCodec,
+                                        m_counters, m_latencies, UpstreamPool(m_io.get_executor())},
       m_forwarder(settings.forwarder, m_shared),
       m_peers(m_io, peerOptions(settings, &m_counters), m_state),
       m_crashes(m_state, m_peers, &m_counters,
@@ -77,9 +77,10 @@
                    }),
       m_placement(m_io, placementOptions(settings, &m_counters), m_state, m_peers),
       m_usage(m_io, usageOptions(settings, &m_counters), m_peers, usagePlatform(m_io)),
-      m_ready(m_io, settings.ready, [this](HttpAsk ask) { return answerReady(std::move(ask)); }),
+      m_ready(m_io, settings.ready,
+              [this](HttpRequest ask) { return answerReady(std::move(ask)); }),
       m_operators(m_io, settings.operators,
-                  [this](HttpAsk ask) { return answerOperator(std::move(ask)); }),
+                  [this](HttpRequest ask) { return answerOperator(std::move(ask)); }),
       m_source(source(m_io, &m_counters)), m_reload(std::move(reload))
 {
     (void)std::signal(SIGPIPE, SIG_IGN);
@@ -87,7 +88,7 @@
     m_shared.crashes = &m_crashWatch;
     m_shared.cleared = [this](const RequestDigest &request) { m_crashes.completed(request); };
     m_shared.began = [this](const AccountName &account) { m_usage.began(account); };
-    m_state.onUpstreamsLeft([this](const std::vector<UpstreamId> &left) {
+    m_state.onUpstreamsWithdrawn([this](const std::vector<UpstreamId> &left) {
         std::ranges::for_each(left, [this](const UpstreamId &id) { m_shared.pool.forget(id); });
     });
     m_state.onChange([this] { m_peers.announce(); });
@@ -191,15 +192,16 @@
 {
     const std::set<VmName> heard = m_peers.heard();
     const bool watches = m_state.shouldWatch(heard);
-    m_source->setDuty(watches);
-    m_source->setServed(m_state.isReady() && m_state.isVouched());
+    m_source->setWatching(watches);
+    m_source->setServedByPeers(m_state.isReady() && m_state.isConfirmed());
     const Time now = RuntimeClock::now();
-    if (!watches || !m_roster.isLookDue(now))
+    if (!watches || !m_roster.isCheckDue(now))
         return;
     Roster known;
     for (const GatewayEntry &entry : m_state.roster().gateways)
         known.emplace(entry.vm, entry);
-    const auto roster = m_roster.due(known, m_peers.live(), rankAmong(m_state.vm(), heard), now);
+    const auto roster =
+        m_roster.rosterToWrite(known, m_peers.live(), rendezvousPosition(m_state.vm(), heard), now);
     if (!roster)
         return;
     GatewayRoster made{m_state.roster().revision, {}};
@@ -207,21 +209,21 @@
     m_source->publish(std::move(made));
 }
 
-asio::awaitable<HttpReply> GatewayDaemon::answerReady(HttpAsk ask)
+asio::awaitable<HttpResponse> GatewayDaemon::answerReady(HttpRequest ask)
 {
-    HttpReply reply;
-    if (ask.pathOnly() != m_dialect.readyPath())
+    HttpResponse reply;
+    if (ask.pathOnly() != m_headerCodec.readyPath())
         reply.status = 404;
     else if (!m_state.isReady() || m_shared.stopping)
         reply.status = 503;
     co_return reply;
 }
 
-asio::awaitable<HttpReply> GatewayDaemon::answerOperator(HttpAsk ask)
+asio::awaitable<HttpResponse> GatewayDaemon::answerOperator(HttpRequest ask)
 {
-    HttpReply reply;
+    HttpResponse reply;
     if (ask.pathOnly() == "/metrics")
-        reply.body = m_counters.page() + m_latencies.page();
+        reply.body = m_counters.page() + m_latencies.prometheusText();
     else
         reply.status = 404;
     co_return reply;
--- a/src/reachlead-gateway/gatewaydaemon.h
+++ b/src/reachlead-gateway/gatewaydaemon.h
@@ -14,7 +14,7 @@
 #include <boost/asio/signal_set.hpp>
 
 #include <reachlead/http.h>
-#include <reachlead/rosterduty.h>
+#include <reachlead/rosterpublisher.h>
 
 #include "forward/crashwatch.h"
 #include "forward/forwarder.h"
@@ -37,8 +37,8 @@
         std::function<std::unique_ptr<UsagePlatform>(boost::asio::io_context &)>;
     using Reload = std::function<std::optional<GatewaySettings>()>;
 
-    GatewayDaemon(const GatewaySettings &settings, const Dialect &dialect, const MakeSource &source,
-                  const MakeUsagePlatform &usagePlatform, Reload reload);
+    GatewayDaemon(const GatewaySettings &settings, const HeaderCodec &headerCodec,
+                  const MakeSource &source, const MakeUsagePlatform &usagePlatform, Reload reload);
 
     /// Serves until it is told to stop, and then until all work has ended.
     void run();
@@ -48,16 +48,16 @@
     boost::asio::awaitable<void> tickLoop();
     boost::asio::awaitable<void> stopOrderly();
     void followPlatform();
-    boost::asio::awaitable<HttpReply> answerReady(HttpAsk ask);
-    boost::asio::awaitable<HttpReply> answerOperator(HttpAsk ask);
+    boost::asio::awaitable<HttpResponse> answerReady(HttpRequest ask);
+    boost::asio::awaitable<HttpResponse> answerOperator(HttpRequest ask);
     void applyReload();
 
     GatewaySettings m_settings;
-    const Dialect &m_dialect;
+    const HeaderCodec &m_headerCodec;
     boost::asio::io_context m_io{1};
     boost::asio::signal_set m_signals;
     Counters m_counters;
-    Latencies m_latencies;
+    LatencyHistograms m_latencies;
     GatewayState m_state;
     ForwardShared m_shared;
     Forwarder m_forwarder;
@@ -70,7 +70,7 @@
     HttpServer m_operators;
     std::unique_ptr<FleetSource> m_source;
     Reload m_reload;
-    RosterDuty m_roster;
+    RosterPublisher m_roster;
     bool m_lastReady = false;
 };
 
--- a/src/reachlead-gateway/gatewaysettings.cpp
+++ b/src/reachlead-gateway/gatewaysettings.cpp
@@ -137,11 +137,11 @@
                                file.source(), seed);
         peers.seeds.push_back({endpoint->address, static_cast<std::uint16_t>(port)});
     }
-    state.fewestGateways = std::max<std::size_t>(1, peers.seeds.size());
-    state.duty.staleLimit =
-        fromSeconds(std::min(configMs, leaveMs) / 1000.0 * WatchDuty::stalePart);
-    state.duty.hasSeeds = !peers.seeds.empty();
-    state.duty.isSeed = std::ranges::any_of(peers.seeds, [this](const Endpoint &seed) {
+    state.minGateways = std::max<std::size_t>(1, peers.seeds.size());
+    state.watcherElection.staleLimit =
+        fromSeconds(std::min(configMs, leaveMs) / 1000.0 * WatcherElection::staleFraction);
+    state.watcherElection.hasSeeds = !peers.seeds.empty();
+    state.watcherElection.isSeed = std::ranges::any_of(peers.seeds, [this](const Endpoint &seed) {
         return seed.text() == peers.self.address.text();
     });
     return std::nullopt;
@@ -160,8 +160,8 @@
 {
     constexpr double longest = 600'000.0; // ms; ten minutes is past any deadline
     constexpr double largest = 1e6;
-    UpstreamBook::Costs &costs = state.costs;
-    auto shortPrompt = static_cast<std::int64_t>(costs.shortPrompt);
+    UpstreamTable::Costs &costs = state.costs;
+    auto shortPrompt = static_cast<std::int64_t>(costs.maxShortPromptTokens);
     auto strategy = static_cast<std::size_t>(costs.strategy);
     auto groupSize = static_cast<std::int64_t>(state.groupSize);
     double answerMs = toMillis(placement.answerLimit);
@@ -169,33 +169,34 @@
     double holdMs = toMillis(placement.lessUrgentHold);
     IniReader reader(file, "placement");
     reader.takeNumber("tokens_per_ms", 0.001, largest, &costs.tokensPerMs)
-        .takeNumber("per_running_ms", 0.0, longest, &costs.perRunning)
-        .takeNumber("per_queued_ms", 0.0, longest, &costs.perQueued)
-        .takeNumber("other_zone_ms", 0.0, longest, &costs.otherZone)
-        .takeNumber("reread_factor", 0.0, largest, &costs.rereadFactor)
+        .takeNumber("per_running_ms", 0.0, longest, &costs.perRunningRequest)
+        .takeNumber("per_queued_ms", 0.0, longest, &costs.perQueuedRequest)
+        .takeNumber("other_zone_ms", 0.0, longest, &costs.crossZone)
+        .takeNumber("reread_factor", 0.0, largest, &costs.recomputeFactor)
         .takeNumber("fetch_setup_ms", 0.0, longest, &costs.fetchSetup)
         .takeNumber("fetch_per_kilotoken_ms", 0.0, longest, &costs.fetchPerKiloToken)
-        .takeNumber("quiet_part", 0.0, 0.5, &costs.quiet.leastPart)
-        .takeNumber("quiet_fill", 0.01, 1.0, &costs.quiet.fill)
-        .takeNumber("quiet_backlog_ms", 1.0, longest, &costs.quiet.backlog)
-        .takeNumber("per_paused_ms", 0.0, longest, &costs.perPaused)
+        .takeNumber("quiet_part", 0.0, 0.5, &costs.dedicated.minShare)
+        .takeNumber("quiet_fill", 0.01, 1.0, &costs.dedicated.targetUtilization)
+        .takeNumber("quiet_backlog_ms", 1.0, longest, &costs.dedicated.backlogPerEngineMs)
+        .takeNumber("per_paused_ms", 0.0, longest, &costs.perStalledStream)
         .takeInteger("short_prompt", 0, 1'000'000'000, &shortPrompt)
-        .takeNumber("short_outside_ms", 0.0, longest, &costs.shortOutside)
-        .takeNumber("long_in_quiet_ms", 0.0, longest, &costs.longInQuiet)
-        .takeNumber("other_group_ms", 0.0, longest, &costs.otherGroup)
+        .takeNumber("short_outside_ms", 0.0, longest, &costs.shortOutsideDedicated)
+        .takeNumber("long_in_quiet_ms", 0.0, longest, &costs.longInDedicated)
+        .takeNumber("other_group_ms", 0.0, longest, &costs.crossGroup)
         .takeFlag("group_scheduler", &placement.isOn)
         .takeFlag("group_scheduler_for_plain", &placement.plainCalls)
         .takeInteger("group_size", 1, 1'000'000, &groupSize)
         .takeNumber("answer_limit_ms", 1.0, 1000.0, &answerMs)
         .takeNumber("report_ms", 10.0, 1000.0, &reportMs)
-        .takeNumber("refuse_after_targets", 0.0, 1000.0, &placement.refusal.targets)
-        .takeNumber("refuse_urgent_after_targets", 0.0, 1000.0, &placement.refusal.urgentTargets)
+        .takeNumber("refuse_after_targets", 0.0, 1000.0, &placement.refusal.waitTargets)
+        .takeNumber("refuse_urgent_after_targets", 0.0, 1000.0,
+                    &placement.refusal.urgentWaitTargets)
         .takeNumber("less_urgent_hold_ms", 0.0, 60'000.0, &holdMs)
         .takeFlag("peer_loads", &costs.usesPeerLoads)
-        .takeFlag("prompt_notes", &costs.usesNotes);
-    reader.takeWord("strategy", {"cost", "home-only", "least-loaded", "round-robin"}, &strategy);
-    costs.strategy = static_cast<UpstreamBook::Strategy>(strategy);
-    costs.shortPrompt = static_cast<TokenCount>(shortPrompt);
+        .takeFlag("prompt_notes", &costs.usesPromptHints);
+    reader.takeEnum("strategy", {"cost", "home-only", "least-loaded", "round-robin"}, &strategy);
+    costs.strategy = static_cast<UpstreamTable::Strategy>(strategy);
+    costs.maxShortPromptTokens = static_cast<TokenCount>(shortPrompt);
     state.groupSize = static_cast<std::size_t>(groupSize);
     placement.answerLimit = fromSeconds(answerMs / 1000.0);
     placement.reportInterval = fromSeconds(reportMs / 1000.0);
--- a/src/reachlead-gateway/main.cpp
+++ b/src/reachlead-gateway/main.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-#include <reachlead/crashreport.h>
+#include <reachlead/crashhandler.h>
 #include <reachlead/log.h>
 
 #include "gatewaydaemon.h"
@@ -19,7 +19,7 @@
 int main(int argc, char **argv)
 {
     using namespace reachlead;
-    reportCrashes();
+    installCrashHandler();
     GatewaySettings settings;
     std::string path;
     DaemonMain program;
@@ -56,8 +56,8 @@
     };
     program.run = [&] {
         setLogLevel(static_cast<LogLevel>(settings.logLevel));
-        const platform::PlatformDialect dialect;
-        GatewayDaemon daemon(settings, dialect, source, usagePlatform, reload);
+        const platform::PlatformHeaderCodec headerCodec;
+        GatewayDaemon daemon(settings, headerCodec, source, usagePlatform, reload);
         daemon.run();
     };
     return program(argc, argv);
--- a/src/reachlead-load/endedupstreams_test.cpp
+++ b/src/reachlead-load/endedupstreams_test.cpp
@@ -68,7 +68,7 @@
             }
         }
 
-        AnswerEnd endOf(const RequestId &id) const
+        AnswerResult endOf(const RequestId &id) const
         {
             const CallerRecord &record = rig.callers.at(id);
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, record.ends.size());
@@ -86,7 +86,7 @@
         fleet.rig.settle(seconds(30));
         const std::size_t ended = fleet.rig.upstreamEnds.size();
         CPPUNIT_ASSERT_MESSAGE(fmt::format("ended: {}", ended), ended <= endsNeeded + endsUnderWay);
-        const AnswerEnd end = fleet.endOf(fleet.last);
+        const AnswerResult end = fleet.endOf(fleet.last);
         CPPUNIT_ASSERT(end.kind == ErrorKind::RequestQuarantined);
         CPPUNIT_ASSERT(end.outcome == Outcome::NotRun);
     }
--- a/src/reachlead-load/httpload.cpp
+++ b/src/reachlead-load/httpload.cpp
@@ -132,9 +132,9 @@
     } while (m_open > 0);
 }
 
-HttpAsk HttpLoad::askFor(const std::string &prompt) const
+HttpRequest HttpLoad::askFor(const std::string &prompt) const
 {
-    HttpAsk ask;
+    HttpRequest ask;
     ask.method = "POST";
     ask.path = "/v1/chat/completions";
     ask.body = fmt::format(
@@ -156,7 +156,7 @@
     SseCall call(m_io.get_executor(), m_plan.targets[number % m_plan.targets.size()], {});
     std::string reason = co_await call.connect();
     if (reason.empty()) {
-        HttpAsk ask = askFor(prompt);
+        HttpRequest ask = askFor(prompt);
         reason = co_await call.ask(std::move(ask));
     }
     std::string text;
--- a/src/reachlead-load/httpload.h
+++ b/src/reachlead-load/httpload.h
@@ -68,7 +68,7 @@
     boost::asio::awaitable<void> request(Clock::time_point due, std::uint64_t number);
     boost::asio::awaitable<void> report();
     void note(const std::string &text, const std::string &expected, bool done);
-    HttpAsk askFor(const std::string &prompt) const;
+    HttpRequest askFor(const std::string &prompt) const;
 
     LoadPlan m_plan;
     std::mt19937_64 m_random;
--- a/src/reachlead-load/policybench.cpp
+++ b/src/reachlead-load/policybench.cpp
@@ -53,7 +53,7 @@
 
 bool inTime(const CallerRequest &ask, const rig::CallerRecord &record, const ClassPolicy &cls)
 {
-    return ask.model && record.ends.size() == 1 && record.ends[0].kind == ErrorKind::None
+    return ask.isModel && record.ends.size() == 1 && record.ends[0].kind == ErrorKind::None
         && record.endedAt <= record.arrived + cls.deadline;
 }
 
@@ -122,7 +122,7 @@
     double good = 0;
     double goodBurst = 0;
     for (const auto &[id, record] : rig.callers) {
-        if (!record.ask.model)
+        if (!record.ask.isModel)
             continue;
         const ClassPolicy &cls = *scenario.policies->findClass(record.ask.cls);
         const double hit = attained(record, cls) ? 1 : 0;
@@ -143,7 +143,7 @@
             hits += hit;
             ++all;
         }
-        for (const AnswerEnd &end : record.ends) {
+        for (const AnswerResult &end : record.ends) {
             if (end.kind != ErrorKind::None)
                 ++result.refused[std::string(errorRow(end.kind).name)];
         }
--- a/src/reachlead-load/policyrig.cpp
+++ b/src/reachlead-load/policyrig.cpp
@@ -37,7 +37,7 @@
     for (auto &[agentName, agent] : m_agents)
         connect(kept, *agent);
     for (auto &[other, router] : m_routers)
-        router->core->setLimitPart(1.0 / static_cast<double>(m_routers.size()));
+        router->core->setAccountLimitShare(1.0 / static_cast<double>(m_routers.size()));
 }
 
 void Rig::addAgent(const std::string &name, const std::string &zone, const TargetName &target,
@@ -206,7 +206,7 @@
         });
     }
     if (router.alive) {
-        router.core->agentDown(VmName(agentName), m_now);
+        router.core->agentDisconnected(VmName(agentName), m_now);
         drain(router);
     }
     connect(router, agent);
@@ -248,7 +248,7 @@
                      .tuning(agent.tuning)
                      .counters(&counters)
                      .build();
-    agent.book = std::make_unique<ClaimBook>(agent.target, ClaimTuning{}, [this] {
+    agent.book = std::make_unique<ClaimTable>(agent.target, ClaimTuning{}, [this] {
         return std::chrono::duration_cast<seconds>(m_now.time_since_epoch()).count();
     });
     for (auto &[routerName, router] : m_routers) {
@@ -275,7 +275,7 @@
 void Rig::memberLeaving(const std::string &router, const std::string &agent)
 {
     drainedAt.emplace(VmName(agent), m_now);
-    m_routers.at(router)->core->membership(VmName(agent), true, m_now);
+    m_routers.at(router)->core->setAgentLeaving(VmName(agent), true, m_now);
     drain(*m_routers.at(router));
 }
 
@@ -290,7 +290,7 @@
     agent.downUntil = m_now + downFor;
     for (const auto &[key, call] : std::exchange(agent.calls, {})) {
         toAgent(agent, [this, &agent, key = key] {
-            agent.core->upstreamEnded(key, m_now);
+            agent.core->upstreamExited(key, m_now);
             agent.core->upstreamFailed(key, ErrorKind::UpstreamLost, Outcome::Unknown, "crash",
                                        m_now);
             drain(agent);
@@ -344,7 +344,7 @@
     record.plan = standin::planAnswer(ask.call.body);
     record.arrived = m_now;
     const RequestId id = ask.id;
-    router.core->arrive(std::move(ask), m_now);
+    router.core->submitRequest(std::move(ask), m_now);
     drain(router);
     return id;
 }
@@ -355,7 +355,7 @@
     for (auto &[name, router] : m_routers) {
         if (router->incarnation != id.router || !router->alive)
             continue;
-        router->core->callerGone(id, m_now);
+        router->core->callerDisconnected(id, m_now);
         drain(*router);
     }
 }
@@ -372,10 +372,10 @@
 
 void Rig::perform(RouterBox &router, RouterAction &action)
 {
-    if (const auto *told = std::get_if<TellCaller>(&action)) {
+    if (const auto *told = std::get_if<SendToCaller>(&action)) {
         tell(*told);
         if (const auto *text = std::get_if<AnswerText>(&told->event))
-            router.core->callerTook(told->id, text->tokens);
+            router.core->callerConsumed(told->id, text->tokens);
     } else if (const auto *dropped = std::get_if<DropSession>(&action)) {
         cutSession(router.name, dropped->agent.text);
     } else {
@@ -400,7 +400,7 @@
     }
 }
 
-void Rig::tell(const TellCaller &told)
+void Rig::tell(const SendToCaller &told)
 {
     CallerRecord &record = callers.at(told.id);
     if (const auto *text = std::get_if<AnswerText>(&told.event)) {
@@ -409,11 +409,11 @@
         record.lastAt = m_now;
         if (!record.firstAt)
             record.firstAt = m_now;
-    } else if (std::holds_alternative<AnswerWhole>(told.event)) {
+    } else if (std::holds_alternative<ServiceResponse>(told.event)) {
         record.whole = true;
         record.firstAt = m_now;
     } else {
-        record.ends.push_back(std::get<AnswerEnd>(told.event));
+        record.ends.push_back(std::get<AnswerResult>(told.event));
         record.endedAt = m_now;
     }
 }
@@ -446,7 +446,7 @@
                           return;
                       if (const auto *welcome = std::get_if<Welcome>(&message)) {
                           l.up = true;
-                          router.core->agentUp(*welcome, m_now);
+                          router.core->agentConnected(*welcome, m_now);
                       } else {
                           router.core->agentMessage(VmName(agent.name), message, m_now);
                       }
@@ -454,9 +454,9 @@
                   });
             return;
         }
-    } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
+    } else if (const auto *start = std::get_if<StartUpstreamCall>(&action)) {
         startCall(agent, *start);
-    } else if (const auto *cancelled = std::get_if<CancelUpstream>(&action)) {
+    } else if (const auto *cancelled = std::get_if<CancelUpstreamCall>(&action)) {
         agent.calls.erase(cancelled->key);
     } else if (const auto *claim = std::get_if<MakeClaim>(&action)) {
         agent.book->claim(*claim, m_now);
@@ -465,7 +465,7 @@
     }
 }
 
-void Rig::startCall(AgentBox &agent, const StartUpstream &start)
+void Rig::startCall(AgentBox &agent, const StartUpstreamCall &start)
 {
     const AttemptKey key = start.key;
     const std::uint64_t incarnation = agent.incarnation;
--- a/src/reachlead-load/policyrig.h
+++ b/src/reachlead-load/policyrig.h
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include <reachlead/agentcore.h>
-#include <reachlead/claimbook.h>
+#include <reachlead/claimtable.h>
 #include <reachlead/routercore.h>
 
 #include "reachlead-standin/answer.h"
@@ -48,7 +48,7 @@
     std::string text;
     std::uint64_t tokens = 0;
     bool whole = false; ///< a plain service's answer came
-    std::vector<AnswerEnd> ends; ///< exactly one when all went well
+    std::vector<AnswerResult> ends; ///< exactly one when all went well
     Time endedAt{};
     bool hungUp = false;
 };
@@ -161,8 +161,8 @@
     void drain(AgentBox &agent);
     void perform(RouterBox &router, RouterAction &action);
     void perform(AgentBox &agent, AgentAction &action);
-    void tell(const TellCaller &told);
-    void startCall(AgentBox &agent, const StartUpstream &start);
+    void tell(const SendToCaller &told);
+    void startCall(AgentBox &agent, const StartUpstreamCall &start);
     void endBy(AgentBox &agent, const AttemptKey &key);
     void nextToken(AgentBox &agent, const AttemptKey &key, std::uint64_t incarnation);
     void serve(AgentBox &agent, const AttemptKey &key, std::uint64_t incarnation);
--- a/src/reachlead-load/policyrig_pvt.h
+++ b/src/reachlead-load/policyrig_pvt.h
@@ -34,7 +34,7 @@
     UpstreamSpeed speed;
     std::uint64_t incarnation = 0;
     std::unique_ptr<AgentCore> core;
-    std::unique_ptr<ClaimBook> book;
+    std::unique_ptr<ClaimTable> book;
     std::map<AttemptKey, Call> calls; ///< at the upstream
     Time pausedUntil{};
     Time downUntil{}; ///< the upstream refuses connections
--- a/src/reachlead-load/policyrig_store.cpp
+++ b/src/reachlead-load/policyrig_store.cpp
@@ -14,9 +14,9 @@
 void Rig::claims(AgentBox &agent)
 {
     for (ClaimAction &action : agent.book->takeActions()) {
-        if (const auto *ended = std::get_if<ClaimEnded>(&action)) {
-            const ClaimEnded word = *ended;
-            agent.core->claimEnded(word.key, word.result, m_now);
+        if (const auto *ended = std::get_if<ClaimCompleted>(&action)) {
+            const ClaimCompleted word = *ended;
+            agent.core->claimCompleted(word.key, word.result, m_now);
             drain(agent);
         } else {
             callPlatform(agent, std::move(action));
@@ -29,7 +29,7 @@
     const std::uint64_t incarnation = agent.incarnation;
     later(platformFaults.delay / 2, [this, &agent, incarnation, action = std::move(action)] {
         PlatformReply reply;
-        ClaimCall call{};
+        ClaimCallId call{};
         if (const auto *read = std::get_if<ReadSlots>(&action)) {
             call = read->call;
             reply = readStore(read->prefix);
@@ -42,7 +42,7 @@
             toAgent(agent, [this, &agent, incarnation, call, reply] {
                 if (agent.incarnation != incarnation)
                     return;
-                agent.book->answered(call, reply, m_now);
+                agent.book->replyReceived(call, reply, m_now);
                 claims(agent);
             });
         });
@@ -84,7 +84,7 @@
     if (platformFaults.loseReplies > 0) {
         --platformFaults.loseReplies;
         reply = PlatformReply{};
-        reply.status = PlatformStatus::Lost;
+        reply.status = PlatformStatus::Indeterminate;
     }
     return reply;
 }
@@ -106,10 +106,10 @@
     const bool started = it != starts.end() && !it->second.empty();
     if (record.ends.empty())
         return {};
-    const AnswerEnd &end = record.ends.front();
-    if (end.kind == ErrorKind::None && record.ask.model && record.text != expected)
+    const AnswerResult &end = record.ends.front();
+    if (end.kind == ErrorKind::None && record.ask.isModel && record.text != expected)
         return fmt::format("{}: told whole, but it is not", who);
-    if (end.kind == ErrorKind::None && !record.ask.model && !record.whole)
+    if (end.kind == ErrorKind::None && !record.ask.isModel && !record.whole)
         return fmt::format("{}: told whole without an answer", who);
     const bool ran = started
         && std::ranges::any_of(it->second, [](const UpstreamStart &start) { return start.ran; });
@@ -165,7 +165,7 @@
     ask.account = AccountName(account);
     ask.cls = ClassName(cls);
     ask.target = serviceTarget(service);
-    ask.model = false;
+    ask.isModel = false;
     ask.repeatable = false;
     ask.idempotencyKey = key;
     ask.call.method = "POST";
--- a/src/reachlead-router/routerdaemon.cpp
+++ b/src/reachlead-router/routerdaemon.cpp
@@ -20,20 +20,15 @@
 
 json::object toJson(const AgentStatus &agent)
 {
-    return {{"agent", agent.name.text},
-            {"zone", agent.zone.text},
-            {"target", agent.target.text},
-            {"up", agent.up},
-            {"leaving", agent.leaving},
-            {"window", agent.load.window},
-            {"running", agent.load.running},
-            {"queued", agent.load.queued},
-            {"mine", agent.mine},
-            {"token_gap_us", agent.load.tokenGapMicros},
+    return {{"agent", agent.name.text},      {"zone", agent.zone.text},
+            {"target", agent.target.text},   {"up", agent.up},
+            {"leaving", agent.leaving},      {"window", agent.load.window},
+            {"running", agent.load.running}, {"queued", agent.load.queued},
+            {"mine", agent.localRequests},   {"token_gap_us", agent.load.tokenGapMicros},
             {"circuit", agent.circuit}};
 }
 
-HttpReply jsonReply(std::string body)
+HttpResponse jsonReply(std::string body)
 {
     return {200, {{"Content-Type", "application/json"}}, std::move(body)};
 }
@@ -57,14 +52,15 @@
     // The two threads know each other through these functions alone; no request can come before
     // the settings have, and those come last.
     m_dispatcher = std::make_unique<Dispatcher>(
-        m_settings.dispatcher, [this](ReplySlotPtr slot) { m_callers->announce(std::move(slot)); },
+        m_settings.dispatcher,
+        [this](AnswerChannelPtr slot) { m_callers->announce(std::move(slot)); },
         [this](std::vector<TargetName> targets) { m_callers->setTargets(std::move(targets)); });
     m_callers = std::make_unique<CallerServer>(
         m_settings.callers,
-        CallerHooks{[this](Tier tier, CallerRequest request, ReplySlotPtr slot) {
+        CallerHooks{[this](Tier tier, CallerRequest request, AnswerChannelPtr slot) {
                         return m_dispatcher->submit(tier, std::move(request), std::move(slot));
                     },
-                    [this](const ReplySlotPtr &slot) { m_dispatcher->look(slot); }});
+                    [this](const AnswerChannelPtr &slot) { m_dispatcher->look(slot); }});
     m_follower = std::make_unique<PlatformFollower>(
         m_settings.platform,
         [this](const PoliciesPtr &policies) {
@@ -106,13 +102,16 @@
 std::map<std::string, AdminServer::Page> RouterDaemon::pages()
 {
     return {
-        {"GET /status", {AdminRole::Read, [this](const HttpAsk &) { return jsonReply(status()); }}},
+        {"GET /status",
+         {AdminRole::Read, [this](const HttpRequest &) { return jsonReply(status()); }}},
         {"GET /route",
          {AdminRole::Read,
-          [this](const HttpAsk &ask) { return jsonReply(route(ask.query("target"))); }}},
+          [this](const HttpRequest &ask) {
+              return jsonReply(route(ask.queryParameter("target")));
+          }}},
         {"POST /drain",
          {AdminRole::Write,
-          [](const HttpAsk &) {
+          [](const HttpRequest &) {
               StopSignal::raise();
               return jsonReply("{\"draining\":true}");
           }}},
@@ -142,14 +141,14 @@
 
 std::string RouterDaemon::route(const std::string &target)
 {
-    auto asked = m_dispatcher->ask<std::vector<RouteView>>([target](RouterCore &core) {
+    auto asked = m_dispatcher->ask<std::vector<RouteCandidate>>([target](RouterCore &core) {
         return core.explain(TargetName(target), RuntimeClock::now());
     });
     json::array list;
-    for (const RouteView &view : asked.get()) {
+    for (const RouteCandidate &view : asked.get()) {
         json::object row = toJson(view.agent);
         row["cost"] = view.cost;
-        row["ruled_out"] = view.ruledOut;
+        row["ruled_out"] = view.exclusionReason;
         list.push_back(std::move(row));
     }
     return json::serialize(json::object{{"target", target}, {"candidates", list}});
--- a/src/reachlead-router/routersettings.cpp
+++ b/src/reachlead-router/routersettings.cpp
@@ -56,7 +56,7 @@
     reader.require("listen")
         .takeInteger("most_open", 10, 1'000'000, &mostOpen)
         .takeInteger("most_connections", 10, 1'000'000, &mostConnections)
-        .takeInteger("largest_body", 1024, static_cast<std::int64_t>(largestFrame / 2),
+        .takeInteger("largest_body", 1024, static_cast<std::int64_t>(maxFrameBytes / 2),
                      &largestBody)
         .takeDuration("header_time", milliseconds(100), seconds(600), &callers.headerTime)
         .takeDuration("body_time", milliseconds(100), seconds(600), &callers.bodyTime)
--- a/src/reachlead-standin/enginestandin.cpp
+++ b/src/reachlead-standin/enginestandin.cpp
@@ -33,7 +33,7 @@
     return fmt::format("{:x}\r\n{}\r\n", data.size(), data);
 }
 
-std::string plainReply(const HttpReply &reply)
+std::string plainReply(const HttpResponse &reply)
 {
     return fmt::format("HTTP/1.1 {} X\r\nContent-Type: application/json\r\n"
                        "Content-Length: {}\r\nConnection: close\r\n\r\n{}",
@@ -91,7 +91,7 @@
     const auto [ec, n] = co_await http::async_read(socket, buf, request, quietly);
     if (ec)
         co_return;
-    const HttpAsk ask{
+    const HttpRequest ask{
         std::string(request.method_string()), std::string(request.target()), {}, request.body()};
     const SequencePtr sequence = ask.path.starts_with("/v1/") ? begin(ask) : nullptr;
     if (sequence) {
@@ -105,7 +105,7 @@
 }
 
 /// Queues a request; null when it is refused or not understood.
-EngineStandin::SequencePtr EngineStandin::begin(const HttpAsk &ask)
+EngineStandin::SequencePtr EngineStandin::begin(const HttpRequest &ask)
 {
     json::error_code ec;
     const json::value root = json::parse(ask.body, ec);
@@ -237,7 +237,7 @@
     }
 }
 
-HttpReply EngineStandin::page(const HttpAsk &ask)
+HttpResponse EngineStandin::page(const HttpRequest &ask)
 {
     if (ask.path == "/stats")
         return stats();
@@ -246,7 +246,7 @@
     return {m_faults.refuse ? 503U : 404U, {}, "{}"};
 }
 
-HttpReply EngineStandin::stats() const
+HttpResponse EngineStandin::stats() const
 {
     json::object begun;
     for (const auto &[id, n] : m_begun)
@@ -261,7 +261,7 @@
                                          {"begun", begun}})};
 }
 
-HttpReply EngineStandin::setFaults(const HttpAsk &ask)
+HttpResponse EngineStandin::setFaults(const HttpRequest &ask)
 {
     json::error_code ec;
     const json::value root = json::parse(ask.body, ec);
--- a/src/reachlead-standin/enginestandin.h
+++ b/src/reachlead-standin/enginestandin.h
@@ -74,10 +74,10 @@
     boost::asio::awaitable<void> steps();
     void step();
     void admit(Time now);
-    SequencePtr begin(const HttpAsk &ask);
-    HttpReply page(const HttpAsk &ask);
-    HttpReply stats() const;
-    HttpReply setFaults(const HttpAsk &ask);
+    SequencePtr begin(const HttpRequest &ask);
+    HttpResponse page(const HttpRequest &ask);
+    HttpResponse stats() const;
+    HttpResponse setFaults(const HttpRequest &ask);
 
     boost::asio::io_context &m_io;
     boost::asio::ip::tcp::acceptor m_acceptor;
--- a/src/reachlead-standin/main.cpp
+++ b/src/reachlead-standin/main.cpp
@@ -41,7 +41,7 @@
 void runPlatform(asio::io_context &io, const Endpoint &listen)
 {
     PlatformStandin platform(io);
-    HttpServer server(io, listen, [&](HttpAsk ask) { return platform.serve(std::move(ask)); });
+    HttpServer server(io, listen, [&](HttpRequest ask) { return platform.serve(std::move(ask)); });
     announce(server.port());
     io.run();
 }
@@ -49,7 +49,7 @@
 void runService(asio::io_context &io, const Endpoint &listen, const std::string &name)
 {
     ServiceStandin service(io, name);
-    HttpServer server(io, listen, [&](HttpAsk ask) { return service.serve(std::move(ask)); });
+    HttpServer server(io, listen, [&](HttpRequest ask) { return service.serve(std::move(ask)); });
     announce(server.port());
     io.run();
 }
--- a/src/reachlead-standin/platformstandin.cpp
+++ b/src/reachlead-standin/platformstandin.cpp
@@ -31,14 +31,14 @@
     return value;
 }
 
-HttpReply reply(unsigned status, std::string body)
+HttpResponse reply(unsigned status, std::string body)
 {
     return {status, {{"Content-Type", "application/json"}}, std::move(body)};
 }
 
 } // namespace
 
-asio::awaitable<HttpReply> PlatformStandin::serve(HttpAsk ask)
+asio::awaitable<HttpResponse> PlatformStandin::serve(HttpRequest ask)
 {
     const std::string path(ask.pathOnly());
     ++m_calls[fmt::format("{} {}", ask.method, path)];
@@ -55,14 +55,14 @@
     if (path == "/members")
         co_return reply(200, membersToJson(m_members));
     if (path == "/watch") {
-        HttpReply answer = co_await watch(std::move(ask));
+        HttpResponse answer = co_await watch(std::move(ask));
         co_return answer;
     }
     if (path != "/objects")
         co_return reply(404, "{}");
     if (ask.method == "GET")
         co_return read(ask);
-    HttpReply answer = write(ask);
+    HttpResponse answer = write(ask);
     if (m_faults.loseReplies > 0) {
         --m_faults.loseReplies;
         answer = reply(500, ""); // the client learns nothing of what took effect
@@ -81,11 +81,11 @@
     return state;
 }
 
-HttpReply PlatformStandin::read(const HttpAsk &ask) const
+HttpResponse PlatformStandin::read(const HttpRequest &ask) const
 {
     const std::uint64_t version = m_version - std::min(m_version, m_faults.staleReads);
     const auto state = m_faults.staleReads > 0 ? stateAt(version) : m_objects;
-    const std::string key = ask.query("key");
+    const std::string key = ask.queryParameter("key");
     std::vector<PlatformObject> found;
     if (!key.empty()) {
         const auto it = state.find(key);
@@ -93,7 +93,7 @@
             return reply(404, objectsToJson(ObjectVersion{version}, {}));
         return reply(200, objectsToJson(it->second.version, {it->second}));
     }
-    const std::string prefix = ask.query("prefix");
+    const std::string prefix = ask.queryParameter("prefix");
     for (const auto &[name, object] : state) {
         if (name.starts_with(prefix) && !object.deleted)
             found.push_back(object);
@@ -101,10 +101,10 @@
     return reply(200, objectsToJson(ObjectVersion{version}, found));
 }
 
-HttpReply PlatformStandin::write(const HttpAsk &ask)
+HttpResponse PlatformStandin::write(const HttpRequest &ask)
 {
-    const std::string key = ask.query("key");
-    const std::uint64_t expected = number(ask.query("expected"));
+    const std::string key = ask.queryParameter("key");
+    const std::uint64_t expected = number(ask.queryParameter("expected"));
     const auto it = m_objects.find(key);
     const bool exists = it != m_objects.end() && !it->second.deleted;
     const std::uint64_t present = exists ? static_cast<std::uint64_t>(it->second.version) : 0;
@@ -133,11 +133,11 @@
     return changes;
 }
 
-asio::awaitable<HttpReply> PlatformStandin::watch(HttpAsk ask)
+asio::awaitable<HttpResponse> PlatformStandin::watch(HttpRequest ask)
 {
-    const std::string prefix = ask.query("prefix");
-    const std::uint64_t from = number(ask.query("from"));
-    const Time until = RuntimeClock::now() + milliseconds(number(ask.query("wait_ms")));
+    const std::string prefix = ask.queryParameter("prefix");
+    const std::uint64_t from = number(ask.queryParameter("from"));
+    const Time until = RuntimeClock::now() + milliseconds(number(ask.queryParameter("wait_ms")));
     ++m_waitingWatches;
     m_mostWaiting = std::max(m_mostWaiting, m_waitingWatches);
     std::vector<PlatformObject> changes = changesAfter(prefix, from);
@@ -151,7 +151,7 @@
     co_return reply(200, objectsToJson(ObjectVersion{m_version}, changes));
 }
 
-HttpReply PlatformStandin::setFaults(const HttpAsk &ask)
+HttpResponse PlatformStandin::setFaults(const HttpRequest &ask)
 {
     json::error_code ec;
     const json::value root = json::parse(ask.body, ec);
@@ -170,7 +170,7 @@
     return reply(200, "{}");
 }
 
-HttpReply PlatformStandin::setMembers(const HttpAsk &ask)
+HttpResponse PlatformStandin::setMembers(const HttpRequest &ask)
 {
     auto members = membersFromJson(ask.body);
     if (!members)
@@ -179,7 +179,7 @@
     return reply(200, "{}");
 }
 
-HttpReply PlatformStandin::counts() const
+HttpResponse PlatformStandin::counts() const
 {
     json::object calls;
     for (const auto &[name, n] : m_calls)
--- a/src/reachlead-standin/platformstandin.h
+++ b/src/reachlead-standin/platformstandin.h
@@ -35,7 +35,7 @@
     explicit PlatformStandin(boost::asio::io_context &io) : m_io(io) { }
 
     /// The handler for an HttpServer on the same io_context.
-    boost::asio::awaitable<HttpReply> serve(HttpAsk ask);
+    boost::asio::awaitable<HttpResponse> serve(HttpRequest ask);
 
 private:
     struct Change
@@ -43,12 +43,12 @@
         PlatformObject object;
     };
 
-    boost::asio::awaitable<HttpReply> watch(HttpAsk ask);
-    HttpReply read(const HttpAsk &ask) const;
-    HttpReply write(const HttpAsk &ask);
-    HttpReply setFaults(const HttpAsk &ask);
-    HttpReply setMembers(const HttpAsk &ask);
-    HttpReply counts() const;
+    boost::asio::awaitable<HttpResponse> watch(HttpRequest ask);
+    HttpResponse read(const HttpRequest &ask) const;
+    HttpResponse write(const HttpRequest &ask);
+    HttpResponse setFaults(const HttpRequest &ask);
+    HttpResponse setMembers(const HttpRequest &ask);
+    HttpResponse counts() const;
     std::vector<PlatformObject> changesAfter(const std::string &prefix, std::uint64_t from) const;
     std::map<std::string, PlatformObject> stateAt(std::uint64_t version) const;
 
--- a/src/reachlead-standin/servicestandin.cpp
+++ b/src/reachlead-standin/servicestandin.cpp
@@ -22,14 +22,14 @@
     return object;
 }
 
-HttpReply reply(unsigned status, std::string body)
+HttpResponse reply(unsigned status, std::string body)
 {
     return {status, {{"Content-Type", "application/json"}}, std::move(body)};
 }
 
 } // namespace
 
-asio::awaitable<HttpReply> ServiceStandin::serve(HttpAsk ask)
+asio::awaitable<HttpResponse> ServiceStandin::serve(HttpRequest ask)
 {
     if (ask.pathOnly() == "/runs") {
         co_return reply(200,
--- a/src/reachlead-standin/servicestandin.h
+++ b/src/reachlead-standin/servicestandin.h
@@ -24,7 +24,7 @@
 
     /// The handler for an HttpServer on the same io_context. Any path is a call that runs; beside
     /// them `POST /faults` (`slow_ms`, `refuse`) and `GET /runs`.
-    boost::asio::awaitable<HttpReply> serve(HttpAsk ask);
+    boost::asio::awaitable<HttpResponse> serve(HttpRequest ask);
 
 private:
     boost::asio::io_context &m_io;
--- a/src/reachlead/commandline.h
+++ b/src/reachlead/commandline.h
@@ -66,8 +66,8 @@
 };
 
 /// Asks a VM's operators' page; empty when it does not answer.
-std::optional<HttpReply> askVm(const Fleet &fleet, const std::string &vm, const std::string &method,
-                               const std::string &path);
+std::optional<HttpResponse> askVm(const Fleet &fleet, const std::string &vm,
+                                  const std::string &method, const std::string &path);
 
 /// A command; its messages go to standard output, faults to standard error.
 using Command = Exit (*)(const Context &);
--- a/src/reachlead/fleetcommands.cpp
+++ b/src/reachlead/fleetcommands.cpp
@@ -87,13 +87,13 @@
 
 } // namespace
 
-std::optional<HttpReply> askVm(const Fleet &fleet, const std::string &vm, const std::string &method,
-                               const std::string &path)
+std::optional<HttpResponse> askVm(const Fleet &fleet, const std::string &vm,
+                                  const std::string &method, const std::string &path)
 {
     const auto it = fleet.vms.find(vm);
     if (it == fleet.vms.end())
         return std::nullopt;
-    HttpAsk ask;
+    HttpRequest ask;
     ask.method = method;
     ask.path = path;
     ask.headers = {{"Authorization", "Bearer " + fleet.key}, {"Reachlead-Operator", fleet.who}};
--- a/src/reachlead/settingscommands.cpp
+++ b/src/reachlead/settingscommands.cpp
@@ -159,10 +159,10 @@
         showDifference(body, theirs);
         return Exit::Conflict;
     }
-    case PlatformStatus::Lost:
+    case PlatformStatus::Indeterminate:
         return findOut(platform, key, id, version);
     case PlatformStatus::NotFound:
-    case PlatformStatus::Down:
+    case PlatformStatus::Unavailable:
         break;
     }
     std::cerr << "the platform does not answer, nothing was written: " << reply.reason << "\n";
--- a/src/upstream/ssecall.cpp
+++ b/src/upstream/ssecall.cpp
@@ -38,7 +38,7 @@
     co_return std::string();
 }
 
-asio::awaitable<std::string> SseCall::ask(HttpAsk ask)
+asio::awaitable<std::string> SseCall::ask(HttpRequest ask)
 {
     http::request<http::string_body> request(http::string_to_verb(ask.method), ask.path, 11);
     request.set(http::field::host, m_to.text());
--- a/src/upstream/ssecall.h
+++ b/src/upstream/ssecall.h
@@ -38,7 +38,7 @@
     boost::asio::awaitable<std::string> connect();
 
     /// Sends the request and reads the header of the answer; the reason when it failed.
-    boost::asio::awaitable<std::string> ask(HttpAsk request);
+    boost::asio::awaitable<std::string> ask(HttpRequest request);
 
     /// The HTTP status of the answer.
     unsigned status() const { return m_parser.get().result_int(); }
--- a/src/upstream/upstreamchannel.cpp
+++ b/src/upstream/upstreamchannel.cpp
@@ -14,7 +14,7 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <fmt/format.h>
 
-#include <reachlead/socketlimits.h>
+#include <reachlead/sockettimeouts.h>
 
 namespace reachlead {
 
@@ -80,7 +80,7 @@
         failure->nobodyListens = ec == asio::error::connection_refused;
         co_return nullptr;
     }
-    limitSilence(channel->socket);
+    setSocketTimeouts(channel->socket);
     co_return channel;
 }
 
--- a/src/upstream/upstreamclient.cpp
+++ b/src/upstream/upstreamclient.cpp
@@ -68,7 +68,7 @@
     m_thread.join();
 }
 
-void UpstreamClient::start(const StartUpstream &call)
+void UpstreamClient::start(const StartUpstreamCall &call)
 {
     // Each attempt brings at most a start and a cancel, and the gate's window bounds the attempts,
     // so this ring is never full.
@@ -76,7 +76,7 @@
         LogLine(LogLevel::Error, "ring-full").with("ring", "upstream-commands");
 }
 
-void UpstreamClient::cancel(const CancelUpstream &call)
+void UpstreamClient::cancel(const CancelUpstreamCall &call)
 {
     if (!m_commands.push(call))
         LogLine(LogLevel::Error, "ring-full").with("ring", "upstream-commands");
@@ -85,17 +85,17 @@
 void UpstreamClient::takeCommands()
 {
     for (const Command &command : m_commands.drain()) {
-        if (const auto *call = std::get_if<StartUpstream>(&command)) {
+        if (const auto *call = std::get_if<StartUpstreamCall>(&command)) {
             launch(*call);
         } else {
-            const auto it = m_running.find(std::get<CancelUpstream>(command).key);
+            const auto it = m_running.find(std::get<CancelUpstreamCall>(command).key);
             if (it != m_running.end())
                 it->second->emit(asio::cancellation_type::terminal);
         }
     }
 }
 
-void UpstreamClient::launch(const StartUpstream &call)
+void UpstreamClient::launch(const StartUpstreamCall &call)
 {
     auto &signal = m_running[call.key];
     signal = std::make_unique<asio::cancellation_signal>();
@@ -122,7 +122,7 @@
 /// is gone: an upstream may cut a stream and serve on.
 UpstreamClient::Awaitable UpstreamClient::emitLoss(UpstreamFailure failure)
 {
-    failure.upstreamEnded = co_await refusesConnections();
+    failure.upstreamExited = co_await refusesConnections();
     co_await emit(std::move(failure));
 }
 
@@ -136,7 +136,7 @@
     co_return ec == asio::error::connection_refused;
 }
 
-UpstreamClient::Awaitable UpstreamClient::callEngine(StartUpstream call)
+UpstreamClient::Awaitable UpstreamClient::callEngine(StartUpstreamCall call)
 {
     const AttemptKey key = call.key;
     const std::optional<std::string> body = engineBody(*call.dispatch);
@@ -153,7 +153,7 @@
         co_await emit(std::move(failure));
         co_return;
     }
-    HttpAsk ask{"POST", call.dispatch->call.path, {}, *body};
+    HttpRequest ask{"POST", call.dispatch->call.path, {}, *body};
     reason = co_await stream.ask(std::move(ask));
     if (!reason.empty()) {
         UpstreamFailure failure{key, ErrorKind::UpstreamLost, Outcome::Unknown, reason};
@@ -162,7 +162,7 @@
     }
     if (stream.status() != 200) {
         UpstreamFailure failure = failureOf(key, stream.status());
-        failure.retryAfter = retryAfterOf(stream.status(), stream.header("Retry-After"));
+        failure.retryAfter = parseRetryAfter(stream.status(), stream.header("Retry-After"));
         co_await emit(std::move(failure));
         co_return;
     }
@@ -196,11 +196,11 @@
     }
 }
 
-UpstreamClient::Awaitable UpstreamClient::callService(StartUpstream call)
+UpstreamClient::Awaitable UpstreamClient::callService(StartUpstreamCall call)
 {
     const AttemptKey key = call.key;
     const Call &from = call.dispatch->call;
-    HttpAsk ask{from.method, from.path, from.headers, from.body};
+    HttpRequest ask{from.method, from.path, from.headers, from.body};
     ask.headers.push_back({"Reachlead-Request-Id", toString(key.id)});
     std::string reason;
     CallProgress progress{};
@@ -211,7 +211,7 @@
             return boost::beast::iequals(header.name, "Retry-After");
         });
         const std::string retryAfter = it == reply->headers.end() ? std::string() : it->value;
-        const auto backoff = retryAfterOf(reply->status, retryAfter);
+        const auto backoff = parseRetryAfter(reply->status, retryAfter);
         UpstreamAnswer answer{key, std::move(*reply), backoff};
         co_await emit(std::move(answer));
         co_return;
--- a/src/upstream/upstreamclient.h
+++ b/src/upstream/upstreamclient.h
@@ -21,7 +21,7 @@
 
 #include <reachlead/agentcore.h>
 #include <reachlead/http.h>
-#include <reachlead/ring.h>
+#include <reachlead/ringbuffer.h>
 
 namespace reachlead {
 
@@ -38,7 +38,7 @@
 struct UpstreamAnswer
 {
     AttemptKey key;
-    HttpReply reply;
+    HttpResponse reply;
     std::optional<Duration> retryAfter = std::nullopt; ///< for which it wants no calls
 };
 struct UpstreamFailure
@@ -48,7 +48,7 @@
     Outcome outcome = Outcome::Unknown;
     std::string reason;
     std::optional<Duration> retryAfter = std::nullopt; ///< for which it wants no calls
-    bool upstreamEnded = false; ///< its process is gone, not the connection alone
+    bool upstreamExited = false; ///< its process is gone, not the connection alone
 };
 using UpstreamEvent = std::variant<UpstreamToken, UpstreamDone, UpstreamAnswer, UpstreamFailure>;
 
@@ -71,18 +71,18 @@
 
     /// Ends the thread; calls in progress are cut. Further commands do nothing.
     void join();
-    void start(const StartUpstream &call);
-    void cancel(const CancelUpstream &call);
+    void start(const StartUpstreamCall &call);
+    void cancel(const CancelUpstreamCall &call);
     std::vector<UpstreamEvent> takeEvents() { return m_events.drain(); }
 
 private:
-    using Command = std::variant<StartUpstream, CancelUpstream>;
+    using Command = std::variant<StartUpstreamCall, CancelUpstreamCall>;
     using Awaitable = boost::asio::awaitable<void>;
 
     void takeCommands();
-    void launch(const StartUpstream &call);
-    Awaitable callEngine(StartUpstream call);
-    Awaitable callService(StartUpstream call);
+    void launch(const StartUpstreamCall &call);
+    Awaitable callEngine(StartUpstreamCall call);
+    Awaitable callService(StartUpstreamCall call);
     Awaitable emit(UpstreamEvent event);
     Awaitable emitLoss(UpstreamFailure failure);
     boost::asio::awaitable<bool> refusesConnections();
@@ -91,8 +91,8 @@
     std::map<AttemptKey, std::unique_ptr<boost::asio::cancellation_signal>> m_running;
     boost::asio::io_context m_io{1}; ///< ends before the signals its calls hold slots of
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
-    Ring<Command> m_commands;
-    Ring<UpstreamEvent> m_events;
+    RingBuffer<Command> m_commands;
+    RingBuffer<UpstreamEvent> m_events;
     std::thread m_thread;
 };
 
--- a/src/upstream/upstreamclient_test.cpp
+++ b/src/upstream/upstreamclient_test.cpp
@@ -56,12 +56,12 @@
     }
 
     /// What the client tells of one call that gets \p reply.
-    static UpstreamEvent eventOf(bool stream, const HttpReply &reply = refusal())
+    static UpstreamEvent eventOf(bool stream, const HttpResponse &reply = refusal())
     {
         boost::asio::io_context io;
         HttpServer server(
             io, {"127.0.0.1", 0},
-            [&](const HttpAsk &) -> boost::asio::awaitable<HttpReply> { co_return reply; });
+            [&](const HttpRequest &) -> boost::asio::awaitable<HttpResponse> { co_return reply; });
         std::thread thread([&] { io.run_for(patience); });
         UpstreamEvent event = eventOfCall(server.port(), stream);
         io.stop();
@@ -69,7 +69,7 @@
         return event;
     }
 
-    static HttpReply refusal() { return {503, {{"Retry-After", "1.5"}}, "{}"}; }
+    static HttpResponse refusal() { return {503, {{"Retry-After", "1.5"}}, "{}"}; }
 
     /// What the client tells of a call whose connection the upstream closes within the answer.
     /// Where it \p ends, nothing listens at its address any more.
@@ -108,37 +108,37 @@
 
     void otherTextsAreNoRetryAfter()
     {
-        CPPUNIT_ASSERT(retryAfterOf(429, "2") == seconds(2));
-        CPPUNIT_ASSERT(!retryAfterOf(200, "2"));
+        CPPUNIT_ASSERT(parseRetryAfter(429, "2") == seconds(2));
+        CPPUNIT_ASSERT(!parseRetryAfter(200, "2"));
         for (const std::string text : {"", "0", "-1", "nan", "inf", "2 s", "Thu, 03 Dec 2026"})
-            CPPUNIT_ASSERT_MESSAGE(text, !retryAfterOf(503, text));
+            CPPUNIT_ASSERT_MESSAGE(text, !parseRetryAfter(503, text));
     }
 
     void streamCutByALivingEngineIsNotItsEnd()
     {
         const UpstreamFailure failure = failureOfCut(true, false);
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamLost);
-        CPPUNIT_ASSERT(!failure.upstreamEnded);
+        CPPUNIT_ASSERT(!failure.upstreamExited);
     }
 
     void callCutByALivingServiceIsNotItsEnd()
     {
         const UpstreamFailure failure = failureOfCut(false, false);
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamLost);
-        CPPUNIT_ASSERT(!failure.upstreamEnded);
+        CPPUNIT_ASSERT(!failure.upstreamExited);
     }
 
     void answerOfAFailedEngineIsNotItsEnd()
     {
         const auto failure = std::get<UpstreamFailure>(eventOf(true, {500, {}, "{}"}));
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamLost);
-        CPPUNIT_ASSERT(!failure.upstreamEnded);
+        CPPUNIT_ASSERT(!failure.upstreamExited);
     }
 
     void callLostWithItsProcessIsItsEnd()
     {
-        CPPUNIT_ASSERT(failureOfCut(true, true).upstreamEnded);
-        CPPUNIT_ASSERT(failureOfCut(false, true).upstreamEnded);
+        CPPUNIT_ASSERT(failureOfCut(true, true).upstreamExited);
+        CPPUNIT_ASSERT(failureOfCut(false, true).upstreamExited);
     }
 };
 
--- a/src/upstream/upstreamexchange.cpp
+++ b/src/upstream/upstreamexchange.cpp
@@ -60,8 +60,8 @@
         const bool good = co_await readOneHead();
         if (!good)
             co_return false;
-        m_facts = m_dialect.readAnswer(status(), head());
-        const bool isOther = !m_facts.attemptId.empty() && m_facts.attemptId != m_attemptId;
+        m_metadata = m_headerCodec.readAnswer(status(), head());
+        const bool isOther = !m_metadata.attemptId.empty() && m_metadata.attemptId != m_attemptId;
         if (!isOther)
             co_return true;
         m_reason = "the answer names another call";
--- a/src/upstream/upstreamexchange.h
+++ b/src/upstream/upstreamexchange.h
@@ -14,7 +14,7 @@
 #include <boost/asio/awaitable.hpp>
 #include <boost/beast/http.hpp>
 
-#include <reachlead/dialect.h>
+#include <reachlead/headercodec.h>
 
 #include "upstreamchannel.h"
 
@@ -35,8 +35,8 @@
 class UpstreamExchange
 {
 public:
-    UpstreamExchange(UpstreamChannelPtr channel, const Dialect &dialect)
-        : m_channel(std::move(channel)), m_dialect(dialect)
+    UpstreamExchange(UpstreamChannelPtr channel, const HeaderCodec &headerCodec)
+        : m_channel(std::move(channel)), m_headerCodec(headerCodec)
     { }
 
     /// Sends the call. False with reason() set when the connection broke.
@@ -54,7 +54,7 @@
     /// Of the answer; 0 before its head came.
     unsigned status() const { return m_parser ? m_parser->get().result_int() : 0; }
     const Fields &head() const { return m_parser->get().base(); }
-    const AnswerFacts &facts() const { return m_facts; }
+    const AnswerMetadata &metadata() const { return m_metadata; }
     const std::string &reason() const { return m_reason; }
 
     /// True when bytes came that are no answer, rather than none.
@@ -82,9 +82,9 @@
     bool fail(const boost::system::error_code &ec);
 
     UpstreamChannelPtr m_channel;
-    const Dialect &m_dialect;
+    const HeaderCodec &m_headerCodec;
     std::optional<Parser> m_parser;
-    AnswerFacts m_facts;
+    AnswerMetadata m_metadata;
     std::string m_attemptId;
     std::string m_reason;
     bool m_isHead = false; ///< the method is HEAD: no body follows
