--- a/src/include/reachlead/clock.h
+++ b/src/include/reachlead/clock.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The runtime's clock. Tests pause it and move it on by hand; daemons leave it running.
+/// The runtime's clock. Tests pause and advance it explicitly; daemons leave it running.
 
 #pragma once
 
@@ -15,9 +15,9 @@
 
 /// A monotonic clock that can be paused. Thread-safe.
 ///
-/// It counts the time for which the VM was suspended, which the usual monotonic clock does not: by
-/// that one a holder of a lease that was suspended past the lease's end would find it still held,
-/// and the state of the fleet as of before would still count as current.
+/// It includes the time for which the VM was suspended, which CLOCK_MONOTONIC does not: with that
+/// clock, a lease holder suspended beyond the end of its lease would resume with the lease still
+/// valid, and outdated fleet state would still count as current.
 class RuntimeClock
 {
 public:
@@ -27,16 +27,16 @@
     using time_point = std::chrono::time_point<RuntimeClock>;
     static constexpr bool is_steady = true;
 
-    /// The time now: real, or where the pause left it.
+    /// Returns the current real time, or the time at which the clock is paused.
     static time_point now();
 
-    /// Stops the clock at the given time; advance() alone moves it from here.
+    /// Stops the clock at \p at; from then on only advance() moves it.
     static void pause(time_point at);
 
-    /// Moves a paused clock on by \p step.
+    /// Advances a paused clock by \p step.
     static void advance(duration step);
 
-    /// Lets the clock follow real time again.
+    /// Makes the clock follow real time again.
     static void resume();
 
     /// True between pause() and resume().
@@ -53,31 +53,31 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A duration in milliseconds with fraction, for logs and reports.
+/// Converts a duration to fractional milliseconds, for logs and reports.
 inline double toMillis(Duration d)
 {
     return std::chrono::duration<double, std::milli>(d).count();
 }
 
-/// A duration in seconds with fraction.
+/// Converts a duration to fractional seconds.
 inline double toSeconds(Duration d)
 {
     return std::chrono::duration<double>(d).count();
 }
 
-/// Makes a duration from seconds with fraction.
+/// Converts fractional seconds to a duration.
 inline Duration fromSeconds(double s)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
 }
 
-/// Tells Asio how long to sleep for a RuntimeClock timer: a paused clock is looked at each
-/// millisecond of real time, a running one each maxPollInterval.
+/// Tells Asio how long to sleep for a RuntimeClock timer. The clock is polled every millisecond of
+/// real time while it is paused, otherwise at least every maxPollInterval.
 struct RuntimeWaitTraits
 {
-    /// The kernel's timers stand still while the VM is suspended. Looked at this often, a limit
-    /// that passed meanwhile takes effect a tenth of a second after the wake, before what was
-    /// under way goes on for long.
+    /// Kernel timers do not advance while the VM is suspended. With this interval, a timeout that
+    /// expired during the suspension takes effect within 100 ms after the VM resumes, before
+    /// interrupted work continues for long.
     static constexpr Duration maxPollInterval = milliseconds(100);
 
     static Duration to_wait_duration(const Duration &d);
--- a/src/include/reachlead/signal.h
+++ b/src/include/reachlead/signal.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A condition that coroutines of one thread wait for.
+/// A wake-up signal between coroutines of one thread.
 
 #pragma once
 
@@ -14,8 +14,8 @@
 
 namespace reachlead {
 
-/// Wakes the coroutine that waits. One thread and one waiter; a notify() while none waits is not
-/// kept, so the waiter checks its condition first.
+/// Wakes a waiting coroutine. Supports one thread and one waiter. A notify() without a waiter is
+/// not remembered, so the waiter must check its condition first.
 class Signal
 {
 public:
--- a/src/include/reachlead/sleep.h
+++ b/src/include/reachlead/sleep.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Waiting in a coroutine on the runtime's clock.
+/// Sleep for coroutines on the runtime's clock.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace reachlead {
 
-/// Returns after \p d.
+/// Suspends the calling coroutine for \p d.
 inline boost::asio::awaitable<void> sleepFor(boost::asio::io_context &io, Duration d)
 {
     Timer timer(io);
--- a/src/libreachlead/clock_test.cpp
+++ b/src/libreachlead/clock_test.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// How long the VM was suspended: the clock since boot counts it, the monotonic clock does not.
+/// Simulated suspension of the VM: CLOCK_BOOTTIME includes it, CLOCK_MONOTONIC does not.
 std::atomic<time_t> suspendedSeconds{0};
 
 } // namespace
 
-/// Stands before the C library's, for all clocks of this program.
+/// Overrides the C library's function for all clocks of this program.
 extern "C" int clock_gettime(clockid_t clock, timespec *at) noexcept
 {
     const auto result = static_cast<int>(::syscall(SYS_clock_gettime, clock, at));
@@ -31,16 +31,16 @@
 
 namespace reachlead {
 
-/// The runtime's clock while nobody pauses it.
+/// Tests RuntimeClock while it is not paused.
 class ClockTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ClockTest);
     CPPUNIT_TEST(timeOfASuspensionCounts);
-    CPPUNIT_TEST(timerThatBecameDueMeanwhileFiresSoon);
+    CPPUNIT_TEST(timerExpiredDuringSuspensionFiresSoon);
     CPPUNIT_TEST_SUITE_END();
 
-    /// A VM that was suspended for seconds would wake with a monotonic clock that had stood still,
-    /// and take its leases, and what it knew of the fleet, for as young as before.
+    /// With a clock that stops during a suspension, a VM would resume with leases and fleet state
+    /// that count as younger than they are.
     void timeOfASuspensionCounts()
     {
         constexpr seconds suspension{5};
@@ -49,18 +49,18 @@
         CPPUNIT_ASSERT(RuntimeClock::now() >= before + suspension);
     }
 
-    /// The kernel's timer for the event loop stands still with the monotonic clock: a limit of 30 s
-    /// that passed meanwhile would be noticed 30 s after the wake.
-    void timerThatBecameDueMeanwhileFiresSoon()
+    /// The kernel timer of the event loop stops during a suspension, like CLOCK_MONOTONIC. Without
+    /// polling, a timeout of 30 s that expired meanwhile would fire 30 s after the VM resumes.
+    void timerExpiredDuringSuspensionFiresSoon()
     {
-        constexpr seconds limit{30};
+        constexpr seconds timeout{30};
         boost::asio::io_context io{1};
         Timer timer(io);
         bool hasFired = false;
-        timer.expires_after(limit);
+        timer.expires_after(timeout);
         timer.async_wait([&](const boost::system::error_code &ec) { hasFired = !ec; });
-        io.run_for(std::chrono::milliseconds(20)); // the wait for the limit is under way
-        suspendedSeconds += limit.count();
+        io.run_for(std::chrono::milliseconds(20)); // starts the wait
+        suspendedSeconds += timeout.count();
         io.restart();
         io.run_for(std::chrono::milliseconds(500));
         CPPUNIT_ASSERT(hasFired);
