--- a/src/include/reachlead/apikey.h
+++ b/src/include/reachlead/apikey.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// API keys of client accounts: `ACCOUNT:SECRET`, of which only a salted hash is kept.
+/// API keys of client accounts, in the form `ACCOUNT:SECRET`. Only a salted hash of the secret is
+/// stored.
 
 #pragma once
 
@@ -14,14 +15,14 @@
 
 namespace reachlead {
 
-/// Hex SHA-256 of salt and secret.
+/// Returns the SHA-256 of the salt, a newline and the secret as hex.
 std::string hashSecret(std::string_view salt, std::string_view secret);
 
-/// A random hex text of \p bytes bytes, for salts and secrets.
+/// Returns \p bytes random bytes as hex, for salts and secrets.
 std::string randomHex(std::size_t bytes);
 
-/// The account whose key this is; null when the key is wrong. Takes the same time whether the
-/// account or the secret is wrong.
+/// Returns the account that \p key authenticates, or null. Takes the same time whether the account
+/// or the secret is wrong.
 const AccountPolicy *findAccountByKey(const Policies &policies, std::string_view key);
 
 } // namespace reachlead
--- a/src/include/reachlead/fleetkeys.h
+++ b/src/include/reachlead/fleetkeys.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The keys by which routers and agents of one fleet know each other.
+/// Shared keys by which the routers and agents of a fleet authenticate each other.
 
 #pragma once
 
@@ -17,50 +17,53 @@
 
 namespace reachlead {
 
-/// One key or more: the first signs, each of them is accepted, so that a key can be changed
-/// without a stop (add the new one last, move it first, remove the old one).
+/// One or more keys. The first one signs and all of them verify, so that keys can be rotated
+/// without downtime: append the new key, move it to the front, remove the old one.
 class FleetKeys
 {
 public:
-    /// No keys: nothing is signed and everything is accepted.
+    /// Without keys, nothing is signed and everything is accepted.
     FleetKeys() = default;
 
-    /// Reads a key from each line; empty lines and those that begin with # are passed over. Empty
-    /// with \p reason set when there is none, or one is shorter than minKeySize.
+    /// Reads one key per line, ignoring empty lines and lines that begin with #. Returns nothing
+    /// and sets \p reason when there is no key, or when one is shorter than minKeySize.
     static std::optional<FleetKeys> parse(std::string_view text, std::string *reason);
 
     bool empty() const { return m_keys.empty(); }
 
-    /// HMAC-SHA256 (RFC 2104) as hex; empty without keys.
+    /// Returns the HMAC-SHA256 (RFC 2104) as hex; empty without keys.
     std::string sign(std::string_view text) const;
 
-    /// True when one of the keys made the proof, or when there are no keys. Constant time.
-    bool verify(std::string_view text, std::string_view proof) const;
+    /// True when one of the keys made \p signature, or when there are no keys. Compares in constant
+    /// time.
+    bool verify(std::string_view text, std::string_view signature) const;
 
-    /// The same as raw bytes, cut to tagSize; empty without keys.
+    /// Returns the raw HMAC-SHA256 truncated to tagSize; empty without keys.
     std::string tag(std::string_view text) const;
 
-    /// True when one of the keys made the tag, or when there are no keys. Constant time.
+    /// True when one of the keys made \p tag, or when there are no keys. Compares in constant time.
     bool verifyTag(std::string_view text, std::string_view tag) const;
 
     static constexpr std::size_t minKeySize = 16; ///< bytes
-    static constexpr std::size_t tagSize = 16; ///< bytes; RFC 2104 asks for half of the digest
+    /// In bytes. RFC 2104 recommends at least half of the digest.
+    static constexpr std::size_t tagSize = 16;
 
 private:
     std::vector<std::string> m_keys;
 };
 
-/// Keys in a file that is read again when it changed. Thread-safe.
+/// Keys from a file that is reloaded when it changes. Thread-safe.
 class FleetKeyFile
 {
 public:
-    /// \p path empty: no keys. Else the file must hold keys now; a fault later keeps the last.
+    /// With an empty \p path there are no keys.
     explicit FleetKeyFile(std::string path) : m_path(std::move(path)) { }
 
-    /// Reads the file for the first time; the fault, if any.
+    /// Loads the file; returns the error, if any. If a later reload fails, the last keys stay in
+    /// force.
     std::optional<std::string> open();
 
-    /// The keys in force; looks at the file at most once a second.
+    /// Returns the keys in force; checks the file for changes at most once a second.
     FleetKeys keys();
 
 private:
@@ -68,9 +71,9 @@
 
     std::string m_path;
     std::mutex m_mutex;
-    FleetKeys m_keys; ///< guarded by m_mutex, as all below
-    std::filesystem::file_time_type m_changed{};
-    Time m_lookedAt{};
+    FleetKeys m_keys; ///< guarded by m_mutex, like all members below
+    std::filesystem::file_time_type m_modifiedAt{};
+    Time m_checkedAt{};
 };
 
 } // namespace reachlead
--- a/src/libreachlead/apikey.cpp
+++ b/src/libreachlead/apikey.cpp
@@ -44,23 +44,24 @@
     std::string raw(bytes, '\0');
     auto *data = reinterpret_cast<unsigned char *>(raw.data());
     if (RAND_bytes(data, static_cast<int>(bytes)) != 1)
-        throw std::runtime_error("no random bytes");
+        throw std::runtime_error("the random number generator failed");
     return toHex(data, bytes);
 }
 
 const AccountPolicy *findAccountByKey(const Policies &policies, std::string_view key)
 {
-    static const std::string noHash(sha256Bytes * 2, '0');
+    // Compared when the account has no key, so that the time taken is the matches.
+    static const std::string dummyHash(sha256Bytes * 2, '0');
     const auto colon = key.find(':');
-    const bool shaped = colon != std::string_view::npos;
-    const AccountName name{std::string(key.substr(0, shaped ? colon : 0))};
-    const std::string_view secret = shaped ? key.substr(colon + 1) : key;
+    const bool hasColon = colon != std::string_view::npos;
+    const AccountName name{std::string(key.substr(0, hasColon ? colon : 0))};
+    const std::string_view secret = hasColon ? key.substr(colon + 1) : key;
     const AccountPolicy *account = policies.findAccount(name);
-    const bool hasKey = account && account->keyHash.size() == noHash.size();
-    const std::string &expected = hasKey ? account->keyHash : noHash;
-    const std::string got = hashSecret(hasKey ? account->keySalt : "", secret);
-    const bool same = CRYPTO_memcmp(got.data(), expected.data(), expected.size()) == 0;
-    return same && hasKey ? account : nullptr;
+    const bool hasKey = account && account->keyHash.size() == dummyHash.size();
+    const std::string &expected = hasKey ? account->keyHash : dummyHash;
+    const std::string actual = hashSecret(hasKey ? account->keySalt : "", secret);
+    const bool matches = CRYPTO_memcmp(actual.data(), expected.data(), expected.size()) == 0;
+    return matches && hasKey ? account : nullptr;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/fleetkeys.cpp
+++ b/src/libreachlead/fleetkeys.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Duration lookInterval = seconds(1);
+constexpr Duration checkInterval = seconds(1);
 
 std::string hmac(const std::string &key, std::string_view text)
 {
@@ -43,10 +43,10 @@
     return hmac(key, text).substr(0, FleetKeys::tagSize);
 }
 
-bool isEqual(std::string_view expected, std::string_view given)
+bool isEqual(std::string_view expected, std::string_view actual)
 {
-    return expected.size() == given.size()
-        && CRYPTO_memcmp(expected.data(), given.data(), given.size()) == 0;
+    return expected.size() == actual.size()
+        && CRYPTO_memcmp(expected.data(), actual.data(), actual.size()) == 0;
 }
 
 } // namespace
@@ -76,12 +76,12 @@
     return m_keys.empty() ? std::string() : hmacHex(m_keys.front(), text);
 }
 
-bool FleetKeys::verify(std::string_view text, std::string_view proof) const
+bool FleetKeys::verify(std::string_view text, std::string_view signature) const
 {
     if (m_keys.empty())
         return true;
     return std::ranges::any_of(
-        m_keys, [&](const std::string &key) { return isEqual(hmacHex(key, text), proof); });
+        m_keys, [&](const std::string &key) { return isEqual(hmacHex(key, text), signature); });
 }
 
 std::string FleetKeys::tag(std::string_view text) const
@@ -118,8 +118,8 @@
         return std::nullopt;
     std::scoped_lock lock(m_mutex);
     std::error_code ignored;
-    m_changed = std::filesystem::last_write_time(m_path, ignored);
-    m_lookedAt = RuntimeClock::now();
+    m_modifiedAt = std::filesystem::last_write_time(m_path, ignored);
+    m_checkedAt = RuntimeClock::now();
     return read();
 }
 
@@ -127,16 +127,16 @@
 {
     std::scoped_lock lock(m_mutex);
     const Time now = RuntimeClock::now();
-    if (m_path.empty() || now - m_lookedAt < lookInterval)
+    if (m_path.empty() || now - m_checkedAt < checkInterval)
         return m_keys;
-    m_lookedAt = now;
+    m_checkedAt = now;
     std::error_code ec;
-    const auto changed = std::filesystem::last_write_time(m_path, ec);
-    if (ec || changed == m_changed)
+    const auto modifiedAt = std::filesystem::last_write_time(m_path, ec);
+    if (ec || modifiedAt == m_modifiedAt)
         return m_keys;
-    m_changed = changed;
-    if (const auto fault = read())
-        LogLine(LogLevel::Error, "fleet-keys-not-read").with("reason", *fault);
+    m_modifiedAt = modifiedAt;
+    if (const auto error = read())
+        LogLine(LogLevel::Error, "fleet-keys-not-read").with("reason", *error);
     else
         LogLine(LogLevel::Info, "fleet-keys-read").with("file", m_path);
     return m_keys;
--- a/src/libreachlead/fleetkeys_test.cpp
+++ b/src/libreachlead/fleetkeys_test.cpp
@@ -11,11 +11,11 @@
 {
     CPPUNIT_TEST_SUITE(FleetKeysTest);
     CPPUNIT_TEST(knownAnswer);
-    CPPUNIT_TEST(keysChangeWithoutAStop);
-    CPPUNIT_TEST(faultsAreNamed);
+    CPPUNIT_TEST(keysChangeWithoutDowntime);
+    CPPUNIT_TEST(errorsAreReported);
     CPPUNIT_TEST_SUITE_END();
 
-    static FleetKeys keysOf(const std::string &text)
+    static FleetKeys parseKeys(const std::string &text)
     {
         std::string reason;
         const auto keys = FleetKeys::parse(text, &reason);
@@ -23,33 +23,34 @@
         return *keys;
     }
 
-    /// RFC 4231, test case 6: a key longer than a block.
+    /// RFC 4231, test case 6: a key longer than the block size.
     void knownAnswer()
     {
-        const FleetKeys keys = keysOf(std::string(131, '\xaa'));
+        const FleetKeys keys = parseKeys(std::string(131, '\xaa'));
         CPPUNIT_ASSERT_EQUAL(
             std::string("60e431591ee0b67f0d8a26aacbf5b77f8e0bc6213728c5140546040f0ee37f54"),
             keys.sign("Test Using Larger Than Block-Size Key - Hash Key First"));
     }
 
-    void keysChangeWithoutAStop()
+    void keysChangeWithoutDowntime()
     {
-        const FleetKeys old = keysOf("the old key of all\n");
-        const FleetKeys both = keysOf("# first signs\nthe old key of all\nthe new key of all\n");
-        const FleetKeys swapped = keysOf("the new key of all\nthe old key of all\n");
-        const FleetKeys fresh = keysOf("the new key of all\n");
-        CPPUNIT_ASSERT(both.verify("x", old.sign("x")));
-        CPPUNIT_ASSERT(old.verify("x", both.sign("x")));
-        CPPUNIT_ASSERT(both.verify("x", swapped.sign("x")));
-        CPPUNIT_ASSERT(swapped.verify("x", both.sign("x")));
-        CPPUNIT_ASSERT(fresh.verify("x", swapped.sign("x")));
-        CPPUNIT_ASSERT(!fresh.verify("x", old.sign("x")));
-        CPPUNIT_ASSERT(!fresh.verify("y", fresh.sign("x")));
-        CPPUNIT_ASSERT(!fresh.verify("x", ""));
+        const FleetKeys oldKey = parseKeys("the old key of all\n");
+        const FleetKeys bothKeys =
+            parseKeys("# first signs\nthe old key of all\nthe new key of all\n");
+        const FleetKeys swappedKeys = parseKeys("the new key of all\nthe old key of all\n");
+        const FleetKeys newKey = parseKeys("the new key of all\n");
+        CPPUNIT_ASSERT(bothKeys.verify("x", oldKey.sign("x")));
+        CPPUNIT_ASSERT(oldKey.verify("x", bothKeys.sign("x")));
+        CPPUNIT_ASSERT(bothKeys.verify("x", swappedKeys.sign("x")));
+        CPPUNIT_ASSERT(swappedKeys.verify("x", bothKeys.sign("x")));
+        CPPUNIT_ASSERT(newKey.verify("x", swappedKeys.sign("x")));
+        CPPUNIT_ASSERT(!newKey.verify("x", oldKey.sign("x")));
+        CPPUNIT_ASSERT(!newKey.verify("y", newKey.sign("x")));
+        CPPUNIT_ASSERT(!newKey.verify("x", ""));
         CPPUNIT_ASSERT(FleetKeys().verify("x", ""));
     }
 
-    void faultsAreNamed()
+    void errorsAreReported()
     {
         std::string reason;
         CPPUNIT_ASSERT(!FleetKeys::parse("# nothing\n", &reason));
