--- a/src/include/reachlead/counters.h
+++ b/src/include/reachlead/counters.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Counters and gauges of one process, and their text page in the Prometheus format.
+/// Counters and gauges of one process, exported in the Prometheus text format.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace reachlead {
 
-/// The counters that have no error kind as label.
+/// The counters that are not labelled with an error kind.
 enum class Counter : std::uint8_t {
     RequestsAccepted,
     RequestsCompleted,
@@ -60,7 +60,6 @@
     Size
 };
 
-/// The gauges.
 enum class Gauge : std::uint8_t {
     OpenConnections,
     OpenRequests,
@@ -73,17 +72,16 @@
     Size
 };
 
-/// All counters of a process. Thread-safe; each call is one relaxed atomic operation.
+/// All counters and gauges of a process. Thread-safe; each update is one relaxed atomic operation.
 class Counters
 {
 public:
-    /// Adds \p n to a counter.
     void add(Counter c, std::uint64_t n = 1);
 
-    /// Counts a request refused or ended for this reason.
+    /// Counts a request that was refused or ended for this reason.
     void refused(ErrorKind kind);
 
-    /// Counts a request placed again for this reason.
+    /// Counts a request that was dispatched again for this reason.
     void retried(ErrorKind kind);
 
     void set(Gauge g, std::int64_t value);
@@ -94,7 +92,7 @@
     std::uint64_t retriedCount(ErrorKind kind) const;
     std::int64_t value(Gauge g) const;
 
-    /// The page an operator or a collector reads, in the Prometheus text format.
+    /// Renders all values in the Prometheus text format.
     std::string page() const;
 
 private:
--- a/src/include/reachlead/error.h
+++ b/src/include/reachlead/error.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The closed list of error kinds, and the table from a kind to what the caller is told.
+/// The complete list of error kinds, and the table of the responses that callers get for them.
 
 #pragma once
 
@@ -16,10 +16,10 @@
 
 namespace reachlead {
 
-/// Everything that can end or refuse a request, or move it to another upstream.
+/// Reasons to refuse or end a request, or to move it to another upstream.
 enum class ErrorKind : std::uint8_t {
     None,
-    // The request itself is wrong.
+    // The request is invalid.
     BadRequest,
     BodyTooLarge,
     HeaderTooLarge,
@@ -31,7 +31,7 @@
     MethodNotAllowed,
     TargetUnknown,
     ClassUnknown,
-    // A limit or the load stands against it.
+    // A limit is reached, or the load is too high.
     AccountConnections,
     AccountConcurrency,
     AccountRate,
@@ -42,7 +42,7 @@
     DeadlineQueued,
     DeadlineRunning,
     OpenRequests,
-    // The state of the fleet stands against it.
+    // The state of the fleet does not permit the request, or an attempt failed.
     NoUpstream,
     ZonesEvacuated,
     NoUpstreamInRegion,
@@ -60,12 +60,12 @@
     UpstreamRefused,
     RetryBudgetSpent,
     RequestQuarantined,
-    // Not-repeatable calls.
+    // Calls that are not repeatable.
     ClaimStoreDown,
     KeyInUse,
     KeyAnswered,
     OutcomeUnknown,
-    // Ends without a fault of ours.
+    // Other reasons.
     CallerDisconnected,
     Superseded,
     AnswerCorrupt,
@@ -73,33 +73,31 @@
     Size
 };
 
-/// The number of error kinds.
 inline constexpr std::size_t errorKindCount = static_cast<std::size_t>(ErrorKind::Size);
 
-/// What is known about whether the request ran at its upstream.
+/// Whether the request ran at its upstream, as far as known.
 enum class Outcome : std::uint8_t { NotRun, Ran, Unknown };
 
-/// One row of the table from a kind to its answer.
+/// The response to the caller for one error kind.
 struct ErrorRow
 {
     ErrorKind kind = ErrorKind::None;
-    std::string_view name; ///< machine-readable, as in the answer's `kind`
+    std::string_view name; ///< machine-readable, sent as `kind`
     unsigned status = 500; ///< HTTP status
-    Outcome outcome = Outcome::NotRun; ///< when the refusal alone decides it
-    std::optional<seconds> retryAfter; ///< when to come back; none: not by waiting
-    std::string_view text; ///< one sentence for people
+    Outcome outcome = Outcome::NotRun; ///< when no attempt shows otherwise
+    std::optional<seconds> retryAfter; ///< when to retry; none: waiting does not help
+    std::string_view text; ///< one human-readable sentence
 };
 
-/// The row of a kind.
 const ErrorRow &errorRow(ErrorKind kind);
 
-/// The kind of a name, for reports and tests.
+/// Looks up a kind by its machine-readable name, for reports and tests.
 std::optional<ErrorKind> parseErrorKind(std::string_view name);
 
-/// `not-run`, `ran` or `unknown`.
+/// Returns `not-run`, `ran` or `unknown`.
 std::string_view toString(Outcome outcome);
 
-/// A kind with the readable last reason.
+/// An error kind with a human-readable reason.
 struct Error
 {
     ErrorKind kind = ErrorKind::None;
--- a/src/include/reachlead/ids.h
+++ b/src/include/reachlead/ids.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Strong types for names, ids and units, so that one cannot stand where another is meant.
+/// Strong types for names, ids and units, which the compiler does not let be mixed up.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace reachlead {
 
-/// A name that only compares with names of its own kind.
+/// A name that can only be compared with names of the same kind.
 template <class Tag> struct Name
 {
     std::string text;
@@ -24,11 +24,10 @@
     Name() = default;
     explicit Name(std::string t) : text(std::move(t)) { }
 
-    /// True when no name is set.
     bool empty() const { return text.empty(); }
     auto operator<=>(const Name &) const = default;
 
-    /// Serializes the name (cereal's hook).
+    /// Serialization hook of cereal.
     template <class Archive> void serialize(Archive &ar) { ar(text); }
 };
 
@@ -38,28 +37,27 @@
 using ZoneName = Name<struct ZoneTag>;
 using RegionName = Name<struct RegionTag>;
 
-/// What a request is for: a model, or a plain service. The text is `model:NAME` or `service:NAME`.
+/// The target of a request, a model or a plain service, as `model:NAME` or `service:NAME`.
 using TargetName = Name<struct TargetTag>;
 
-/// Makes the target name of a model.
 TargetName modelTarget(std::string_view model);
 
-/// Makes the target name of a plain service.
 TargetName serviceTarget(std::string_view service);
 
 /// A priority level; 0 is the highest.
 enum class Tier : std::uint8_t { };
 
-/// The number of tiers the product supports.
+/// The number of supported tiers.
 inline constexpr std::size_t tierCount = 5;
 
-/// Index of a tier for arrays of tierCount entries.
+/// Returns the index of a tier in arrays of tierCount entries.
 constexpr std::size_t indexOf(Tier t)
 {
     return static_cast<std::size_t>(t);
 }
 
-/// One life of one process: the VM's name cannot tell a restarted process from its predecessor.
+/// Identifies one run of a process, as a VM name does not distinguish a restarted process from its
+/// predecessor.
 struct Incarnation
 {
     std::uint64_t value = 0;
@@ -69,10 +67,10 @@
     template <class Archive> void serialize(Archive &ar) { ar(value); }
 };
 
-/// Makes a random incarnation, never 0.
+/// Returns a random incarnation, never 0.
 Incarnation makeIncarnation();
 
-/// Identifies a request over the whole fleet: the router's incarnation and a sequence in it.
+/// Identifies a request within the fleet: the router's incarnation and a sequence number within it.
 struct RequestId
 {
     Incarnation router;
@@ -83,16 +81,16 @@
     template <class Archive> void serialize(Archive &ar) { ar(router, sequence); }
 };
 
-/// Writes a request id as `<16 hex digits>-<decimal>`.
+/// Formats a request id as `<16 hex digits>-<decimal>`.
 std::string toString(const RequestId &id);
 
-/// Reads what toString() wrote; empty when the text has another shape.
+/// Parses the format of toString(); returns nothing for any other text.
 std::optional<RequestId> parseRequestId(std::string_view text);
 
-/// One dispatch of a request; a retry has a higher number. The first is 1.
+/// Number of a dispatch of a request: 1 for the first, and higher for each retry.
 using Attempt = std::uint32_t;
 
-/// A share of a processor core, in thousandths; 0: not told.
+/// CPU capacity in thousandths of a core; 0: not reported.
 using MilliCores = std::uint32_t;
 
 /// A number of model tokens.
--- a/src/libreachlead/error.cpp
+++ b/src/libreachlead/error.cpp
@@ -19,8 +19,8 @@
 constexpr seconds later{5};
 constexpr seconds muchLater{30};
 
-// Statuses follow RFC 9110; 429 is from RFC 6585, 499 is the customary code for a client that
-// closed its connection (never sent).
+// Statuses follow RFC 9110 and, for 429, RFC 6585. 499 is the de facto code for a client that
+// closed its connection; it is never sent.
 constexpr std::array<ErrorRow, errorKindCount> table{{
     {None, "none", 200, ran, never, "The request completed."},
     {BadRequest, "bad-request", 400, notRun, never, "The request is malformed."},
@@ -88,7 +88,7 @@
     {Internal, "internal", 500, unknown, never, "The router failed."},
 }};
 
-constexpr bool inOrder()
+constexpr bool isInEnumOrder()
 {
     for (std::size_t n = 0; n < table.size(); ++n) {
         if (static_cast<std::size_t>(table[n].kind) != n)
@@ -96,7 +96,7 @@
     }
     return true;
 }
-static_assert(inOrder(), "the table must list every kind in the order of the enum");
+static_assert(isInEnumOrder(), "the table must list every kind in the order of the enum");
 
 } // namespace
 
--- a/src/libreachlead/error_test.cpp
+++ b/src/libreachlead/error_test.cpp
@@ -17,8 +17,8 @@
     CPPUNIT_TEST_SUITE(ErrorTest);
     CPPUNIT_TEST(everyKindHasItsOwnRow);
     CPPUNIT_TEST(eachReasonHasACounter);
-    CPPUNIT_TEST(logValuesStayOnOneToken);
-    CPPUNIT_TEST(requestIdsComeBack);
+    CPPUNIT_TEST(logValuesAreOneToken);
+    CPPUNIT_TEST(requestIdsRoundTrip);
     CPPUNIT_TEST_SUITE_END();
 
     void everyKindHasItsOwnRow()
@@ -30,7 +30,7 @@
             CPPUNIT_ASSERT(row.kind == kind);
             CPPUNIT_ASSERT(names.insert(row.name).second);
             CPPUNIT_ASSERT(parseErrorKind(row.name) == kind);
-            // Who is told to come back must be told something temporary.
+            // Retry-After is only sent with statuses of temporary conditions.
             if (row.retryAfter)
                 CPPUNIT_ASSERT(row.status == 409 || row.status == 429 || row.status >= 500);
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    void logValuesStayOnOneToken()
+    void logValuesAreOneToken()
     {
         CPPUNIT_ASSERT_EQUAL(std::string("plain-1.2"), quoteLogValue("plain-1.2"));
         CPPUNIT_ASSERT_EQUAL(std::string("\"a b\""), quoteLogValue("a b"));
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT(quoteLogValue(std::string(5000, 'a')).size() < 300);
     }
 
-    void requestIdsComeBack()
+    void requestIdsRoundTrip()
     {
         const RequestId id{Incarnation{0x0123456789abcdefULL}, 42};
         CPPUNIT_ASSERT_EQUAL(std::string("0123456789abcdef-42"), toString(id));
--- a/src/libreachlead/ids.cpp
+++ b/src/libreachlead/ids.cpp
@@ -23,8 +23,8 @@
 Incarnation makeIncarnation()
 {
     std::random_device device;
-    std::uniform_int_distribution<std::uint64_t> spread(1);
-    return Incarnation{spread(device)};
+    std::uniform_int_distribution<std::uint64_t> distribution(1);
+    return Incarnation{distribution(device)};
 }
 
 std::string toString(const RequestId &id)
@@ -40,11 +40,11 @@
     RequestId id;
     const std::string_view hex = text.substr(0, hexDigits);
     const std::string_view number = text.substr(hexDigits + 1);
-    const auto head = std::from_chars(hex.begin(), hex.end(), id.router.value, 16);
-    const auto tail = std::from_chars(number.begin(), number.end(), id.sequence);
-    if (head.ec != std::errc() || head.ptr != hex.end())
+    const auto hexResult = std::from_chars(hex.begin(), hex.end(), id.router.value, 16);
+    const auto numberResult = std::from_chars(number.begin(), number.end(), id.sequence);
+    if (hexResult.ec != std::errc() || hexResult.ptr != hex.end())
         return std::nullopt;
-    if (tail.ec != std::errc() || tail.ptr != number.end())
+    if (numberResult.ec != std::errc() || numberResult.ptr != number.end())
         return std::nullopt;
     return id;
 }
