--- a/src/include/reachlead/http.h
+++ b/src/include/reachlead/http.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Small HTTP/1.1 helpers over Boost.Beast, for the calls and pages that need no streaming.
+/// HTTP/1.1 client and server helpers on Boost.Beast, for messages that need no streaming.
 
 #pragma once
 
@@ -22,18 +22,18 @@
 
 namespace reachlead {
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct Endpoint
 {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
 
-    /// Reads `ADDRESS:PORT`.
+    /// Parses `ADDRESS:PORT`.
     static std::optional<Endpoint> parse(std::string_view text);
     std::string text() const;
 };
 
-/// A request without streaming.
+/// A request with its whole body.
 struct HttpRequest
 {
     std::string method = "GET";
@@ -41,15 +41,15 @@
     std::vector<Header> headers;
     std::string body;
 
-    /// The value of a header, names compared without case; empty when absent.
+    /// Returns the value of a header, or an empty string. Names are case-insensitive.
     std::string_view header(std::string_view name) const;
-    /// The path without its query.
+    /// Returns the path without its query string.
     std::string_view pathOnly() const;
-    /// The value of a query parameter, percent-decoded; empty when absent.
+    /// Returns the percent-decoded value of a query parameter, or an empty string.
     std::string queryParameter(std::string_view name) const;
 };
 
-/// An answer without streaming.
+/// A response with its whole body.
 struct HttpResponse
 {
     unsigned status = 200;
@@ -57,37 +57,37 @@
     std::string body;
 };
 
-/// How far a call got, where that decides whether it can have run.
+/// How far a call got, which shows whether the server can have executed it.
 enum class CallProgress : std::uint8_t { NotConnected, Sent, Answered };
 
-/// Makes one call on a connection of its own. Empty with \p reason set when no whole answer came
-/// within \p limit of real time; \p progress then says how far it got.
-boost::asio::awaitable<std::optional<HttpResponse>> httpCall(Endpoint to, HttpRequest ask,
-                                                             Duration limit, std::string *reason,
+/// Makes one call on a new connection. Returns nothing and sets \p reason when no complete response
+/// arrives within \p timeout of real time; \p progress then shows how far the call got.
+boost::asio::awaitable<std::optional<HttpResponse>> httpCall(Endpoint to, HttpRequest call,
+                                                             Duration timeout, std::string *reason,
                                                              CallProgress *progress = nullptr);
 
-/// The decimal number that is the whole \p text; nothing for any other text.
+/// Parses \p text as one decimal number; returns nothing for any other text.
 std::optional<double> parseDecimal(std::string_view text);
 
-/// The time that a refusal (429, 503) asks for in Retry-After, in seconds and parts of one
-/// (RFC 9110, 10.2.3, has whole ones). Nothing for other statuses, and for a date.
+/// Returns the wait that a refusal (429, 503) requests in Retry-After, in seconds, which may have a
+/// fraction (RFC 9110, 10.2.3, allows whole seconds only). Nothing for other statuses and dates.
 std::optional<Duration> parseRetryAfter(unsigned status, std::string_view retryAfter);
 
 /// Percent-encodes a query value.
 std::string encodeQuery(std::string_view text);
 
-/// Serves pages that are made whole before they are sent. Runs on the given io_context.
+/// Serves responses that are complete before they are sent. Runs on the given io_context.
 class HttpServer
 {
 public:
     using Handler = std::function<boost::asio::awaitable<HttpResponse>(HttpRequest)>;
 
-    /// Listens at once; throws boost::system::system_error when it cannot.
-    HttpServer(boost::asio::io_context &io, const Endpoint &at, Handler handler);
+    /// Starts listening; throws boost::system::system_error on failure.
+    HttpServer(boost::asio::io_context &io, const Endpoint &endpoint, Handler handler);
     ~HttpServer();
 
     std::uint16_t port() const;
-    /// Stops accepting; calls in progress go on.
+    /// Stops accepting connections; those that are open continue.
     void stop();
 
 private:
--- a/src/include/reachlead/inifile.h
+++ b/src/include/reachlead/inifile.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// INI text read strictly: every fault is named with file, line, key and what was expected.
+/// Strict INI parser. Error messages name the file, the line, the key and what was expected.
 
 #pragma once
 
@@ -18,19 +18,19 @@
 
 namespace reachlead {
 
-/// One `key = value` with the line it stands on.
+/// The value of a key, with its line number.
 struct IniEntry
 {
     std::string value;
     unsigned line = 0;
 };
 
-/// A parsed INI text: section → key → entry. Keys before any section are in section "".
+/// A parsed INI text: section → key → entry. Keys before the first section are in section "".
 class IniFile
 {
 public:
-    /// Parses \p text. Returns nothing and sets \p reason on a fault. \p source names the text
-    /// in messages.
+    /// Parses \p text. Returns nothing and sets \p reason on an error. \p source is the name of the
+    /// text in error messages.
     static std::optional<IniFile> parse(std::string_view text, const std::string &source,
                                         std::string *reason);
 
@@ -45,10 +45,10 @@
     std::map<std::string, std::map<std::string, IniEntry>> m_sections;
 };
 
-/// Reads one section into typed fields and refuses keys that nobody asked for.
+/// Reads one section into typed fields and rejects unknown keys.
 ///
-/// Each `take…` call names a key, its bounds and where the value goes; a key that is absent
-/// leaves the field as it was. finish() reports the first fault.
+/// Each `take…` call names a key, its bounds and the output field, which keeps its value if the key
+/// is absent. finish() returns the first error.
 class IniReader
 {
 public:
@@ -59,37 +59,36 @@
     IniReader &takeInteger(std::string_view key, std::int64_t low, std::int64_t high,
                            std::int64_t *out);
     IniReader &takeNumber(std::string_view key, double low, double high, double *out);
-    /// A duration with its unit: `250ms`, `2s` or `5m`.
+    /// A duration with a unit: `250ms`, `2s` or `5m`.
     IniReader &takeDuration(std::string_view key, Duration low, Duration high, Duration *out);
-    /// One of the listed words; the index of the word goes to \p out.
+    /// One of \p words; stores the index of the word in \p out.
     IniReader &takeEnum(std::string_view key, const std::vector<std::string_view> &words,
                         std::size_t *out);
-    /// A list of words with commas between.
+    /// A comma-separated list of words.
     IniReader &takeList(std::string_view key, std::vector<std::string> *out);
-    /// Makes the absence of a key a fault.
+    /// Makes a missing key an error.
     IniReader &require(std::string_view key);
 
-    /// True when the section has the key.
     bool has(std::string_view key) const;
 
-    /// Returns the first fault, also for keys that no take… call named; none: all is well.
+    /// Returns the first error, also for keys that no take… call named; nothing if there is none.
     std::optional<std::string> finish();
 
 private:
     const IniEntry *find(std::string_view key);
-    void fault(std::string_view key, unsigned line, std::string_view expected);
+    void setError(std::string_view key, unsigned line, std::string_view expected);
 
     const IniFile &m_file;
     std::string m_section;
-    std::map<std::string, IniEntry> m_left;
-    std::map<std::string, IniEntry> m_all;
-    std::optional<std::string> m_fault;
+    std::map<std::string, IniEntry> m_unread;
+    std::map<std::string, IniEntry> m_entries;
+    std::optional<std::string> m_error;
 };
 
-/// Reads a duration with its unit; empty when the text has another shape.
+/// Parses a duration with a unit; returns nothing for any other text.
 std::optional<Duration> parseDuration(std::string_view text);
 
-/// Writes a duration as parseDuration() reads it.
+/// Formats a duration so that parseDuration() can read it.
 std::string formatDuration(Duration d);
 
 } // namespace reachlead
--- a/src/libreachlead/http.cpp
+++ b/src/libreachlead/http.cpp
@@ -26,9 +26,9 @@
 
 namespace {
 
-constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t largestBody = 8U << 20U;
-constexpr std::chrono::seconds idleLimit{60};
+constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
+constexpr std::size_t maxBodyBytes = 8U << 20U;
+constexpr std::chrono::seconds idleTimeout{60};
 
 int hexValue(char c)
 {
@@ -41,9 +41,9 @@
 {
     std::string out;
     for (std::size_t n = 0; n < text.size(); ++n) {
-        const bool coded = text[n] == '%' && n + 2 < text.size() && hexValue(text[n + 1]) >= 0
+        const bool isEncoded = text[n] == '%' && n + 2 < text.size() && hexValue(text[n + 1]) >= 0
             && hexValue(text[n + 2]) >= 0;
-        if (coded) {
+        if (isEncoded) {
             out += static_cast<char>(hexValue(text[n + 1]) * 16 + hexValue(text[n + 2]));
             n += 2;
         } else {
@@ -53,7 +53,7 @@
     return out;
 }
 
-template <class Fields> std::vector<Header> headersOf(const Fields &fields)
+template <class Fields> std::vector<Header> toHeaders(const Fields &fields)
 {
     std::vector<Header> headers;
     for (const auto &field : fields)
@@ -84,8 +84,8 @@
     boost::system::error_code ec;
     asio::ip::make_address(endpoint.address, ec);
     const char *end = text.data() + text.size();
-    const auto got = std::from_chars(text.data() + colon + 1, end, endpoint.port);
-    if (ec || got.ec != std::errc() || got.ptr != end)
+    const auto result = std::from_chars(text.data() + colon + 1, end, endpoint.port);
+    if (ec || result.ec != std::errc() || result.ptr != end)
         return std::nullopt;
     return endpoint;
 }
@@ -109,10 +109,10 @@
 
 std::string HttpRequest::queryParameter(std::string_view name) const
 {
-    const auto mark = path.find('?');
-    if (mark == std::string::npos)
+    const auto queryStart = path.find('?');
+    if (queryStart == std::string::npos)
         return {};
-    for (const auto part : std::string_view(path).substr(mark + 1) | std::views::split('&')) {
+    for (const auto part : std::string_view(path).substr(queryStart + 1) | std::views::split('&')) {
         const std::string_view pair(part.begin(), part.end());
         const auto equals = pair.find('=');
         if (pair.substr(0, equals) == name && equals != std::string_view::npos)
@@ -132,38 +132,40 @@
 
 std::optional<Duration> parseRetryAfter(unsigned status, std::string_view retryAfter)
 {
-    constexpr unsigned tooMany = 429;
-    constexpr unsigned unavailable = 503;
-    constexpr double longest = 1e6; // s; fits a Duration
-    if (status != tooMany && status != unavailable)
+    constexpr unsigned tooManyRequests = 429;
+    constexpr unsigned serviceUnavailable = 503;
+    constexpr double maxSeconds = 1e6; // fits a Duration
+    if (status != tooManyRequests && status != serviceUnavailable)
         return std::nullopt;
     const std::optional<double> value = parseDecimal(retryAfter);
     if (!value || !std::isfinite(*value) || *value <= 0)
         return std::nullopt;
-    return fromSeconds(std::min(*value, longest));
+    return fromSeconds(std::min(*value, maxSeconds));
 }
 
 std::string encodeQuery(std::string_view text)
 {
     std::string out;
     for (const char c : text) {
-        const bool plain = (std::isalnum(static_cast<unsigned char>(c)) != 0) || c == '-'
+        const bool isUnreserved = (std::isalnum(static_cast<unsigned char>(c)) != 0) || c == '-'
             || c == '_' || c == '.' || c == '/';
-        out += plain ? std::string(1, c) : fmt::format("%{:02X}", static_cast<unsigned char>(c));
+        out += isUnreserved ? std::string(1, c)
+                            : fmt::format("%{:02X}", static_cast<unsigned char>(c));
     }
     return out;
 }
 
-asio::awaitable<std::optional<HttpResponse>> httpCall(Endpoint to, HttpRequest ask, Duration limit,
-                                                      std::string *reason, CallProgress *progress)
+asio::awaitable<std::optional<HttpResponse>> httpCall(Endpoint to, HttpRequest call,
+                                                      Duration timeout, std::string *reason,
+                                                      CallProgress *progress)
 {
     CallProgress ignored{};
     CallProgress &reached = progress ? *progress : ignored;
     reached = CallProgress::NotConnected;
     beast::tcp_stream stream(co_await asio::this_coro::executor);
-    stream.expires_after(limit);
+    stream.expires_after(timeout);
     const tcp::endpoint endpoint(asio::ip::make_address(to.address), to.port);
-    const auto [connectError] = co_await stream.async_connect(endpoint, quietly);
+    const auto [connectError] = co_await stream.async_connect(endpoint, asTuple);
     if (connectError) {
         *reason = connectError.message();
         co_return std::nullopt;
@@ -171,26 +173,26 @@
     beast::error_code ec;
     stream.socket().set_option(tcp::no_delay(true), ec);
 
-    http::request<http::string_body> request(http::string_to_verb(ask.method), ask.path, 11);
-    request.method_string(ask.method);
+    http::request<http::string_body> request(http::string_to_verb(call.method), call.path, 11);
+    request.method_string(call.method);
     request.set(http::field::host, to.text());
-    for (const Header &header : ask.headers)
+    for (const Header &header : call.headers)
         request.set(header.name, header.value);
-    request.body() = std::move(ask.body);
+    request.body() = std::move(call.body);
     request.keep_alive(false);
     request.prepare_payload();
     reached = CallProgress::Sent;
-    const auto [writeError, written] = co_await http::async_write(stream, request, quietly);
+    const auto [writeError, written] = co_await http::async_write(stream, request, asTuple);
     if (writeError) {
         *reason = writeError.message();
         co_return std::nullopt;
     }
     beast::flat_buffer buf;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largestBody);
-    if (ask.method == "HEAD")
+    parser.body_limit(maxBodyBytes);
+    if (call.method == "HEAD")
         parser.skip(true);
-    const auto [readError, read] = co_await http::async_read(stream, buf, parser, quietly);
+    const auto [readError, read] = co_await http::async_read(stream, buf, parser, asTuple);
     if (readError) {
         *reason = readError.message();
         co_return std::nullopt;
@@ -198,11 +200,11 @@
     reached = CallProgress::Answered;
     stream.socket().shutdown(tcp::socket::shutdown_both, ec);
     const auto &response = parser.get();
-    HttpResponse reply{response.result_int(), headersOf(response), response.body()};
+    HttpResponse reply{response.result_int(), toHeaders(response), response.body()};
     co_return reply;
 }
 
-// ---- the server -------------------------------------------------------------------------
+// ---- server -----------------------------------------------------------------------------
 
 struct HttpServer::Shared
 {
@@ -212,55 +214,57 @@
 
 namespace {
 
-template <class SharedPtr> asio::awaitable<void> serveOne(SharedPtr shared, tcp::socket socket)
+template <class SharedPtr>
+asio::awaitable<void> serveConnection(SharedPtr shared, tcp::socket socket)
 {
     beast::tcp_stream stream(std::move(socket));
     beast::error_code ec;
     stream.socket().set_option(tcp::no_delay(true), ec);
     beast::flat_buffer buf;
     for (;;) {
-        stream.expires_after(idleLimit);
+        stream.expires_after(idleTimeout);
         http::request_parser<http::string_body> parser;
-        parser.body_limit(largestBody);
-        const auto [readError, read] = co_await http::async_read(stream, buf, parser, quietly);
+        parser.body_limit(maxBodyBytes);
+        const auto [readError, read] = co_await http::async_read(stream, buf, parser, asTuple);
         if (readError)
             break;
         stream.expires_never();
         const auto &request = parser.get();
-        HttpRequest ask{std::string(request.method_string()), std::string(request.target()),
-                        headersOf(request), request.body()};
+        HttpRequest call{std::string(request.method_string()), std::string(request.target()),
+                         toHeaders(request), request.body()};
         const bool keepAlive = request.keep_alive();
         const unsigned version = request.version();
-        HttpResponse reply = co_await shared->handler(std::move(ask));
+        HttpResponse reply = co_await shared->handler(std::move(call));
         auto response = toBeast(std::move(reply), version, keepAlive);
-        stream.expires_after(idleLimit);
-        const auto [writeError, written] = co_await http::async_write(stream, response, quietly);
+        stream.expires_after(idleTimeout);
+        const auto [writeError, written] = co_await http::async_write(stream, response, asTuple);
         if (writeError || !keepAlive)
             break;
     }
     stream.socket().shutdown(tcp::socket::shutdown_send, ec);
 }
 
-template <class SharedPtr> asio::awaitable<void> acceptAll(SharedPtr shared)
+template <class SharedPtr> asio::awaitable<void> acceptConnections(SharedPtr shared)
 {
     for (;;) {
-        auto [ec, socket] = co_await shared->acceptor.async_accept(quietly);
+        auto [ec, socket] = co_await shared->acceptor.async_accept(asTuple);
         if (ec == asio::error::operation_aborted || !shared->acceptor.is_open())
             co_return;
         if (ec)
             continue;
         const auto executor = shared->acceptor.get_executor();
-        asio::co_spawn(executor, serveOne(shared, std::move(socket)), asio::detached);
+        asio::co_spawn(executor, serveConnection(shared, std::move(socket)), asio::detached);
     }
 }
 
 } // namespace
 
-HttpServer::HttpServer(asio::io_context &io, const Endpoint &at, Handler handler)
-    : m_shared(std::make_shared<Shared>(Shared{
-          tcp::acceptor(io, {asio::ip::make_address(at.address), at.port}), std::move(handler)}))
+HttpServer::HttpServer(asio::io_context &io, const Endpoint &endpoint, Handler handler)
+    : m_shared(std::make_shared<Shared>(
+          Shared{tcp::acceptor(io, {asio::ip::make_address(endpoint.address), endpoint.port}),
+                 std::move(handler)}))
 {
-    asio::co_spawn(io, acceptAll(m_shared), asio::detached);
+    asio::co_spawn(io, acceptConnections(m_shared), asio::detached);
 }
 
 HttpServer::~HttpServer()
--- a/src/libreachlead/inifile.cpp
+++ b/src/libreachlead/inifile.cpp
@@ -21,12 +21,12 @@
     return boost::algorithm::trim_copy(std::string(text));
 }
 
-template <class T> std::optional<T> parseWhole(std::string_view text)
+template <class T> std::optional<T> parseNumber(std::string_view text)
 {
     T value{};
     const char *end = text.data() + text.size();
-    const auto got = std::from_chars(text.begin(), text.end(), value);
-    if (got.ec != std::errc() || got.ptr != end)
+    const auto result = std::from_chars(text.begin(), text.end(), value);
+    if (result.ec != std::errc() || result.ptr != end)
         return std::nullopt;
     return value;
 }
@@ -37,7 +37,7 @@
     double factor = 1.0; // seconds
 };
 
-// Longer suffixes stand first, since "s" ends "ms" too.
+// Longer suffixes come first, since "ms" also ends with "s".
 constexpr std::array<DurationUnit, 5> durationUnits{
     {{"us", 1e-6}, {"ms", 1e-3}, {"s", 1.0}, {"m", 60.0}, {"h", 3600.0}}};
 
@@ -50,7 +50,7 @@
     if (it == durationUnits.end())
         return std::nullopt;
     text.remove_suffix(it->suffix.size());
-    const auto value = parseWhole<double>(text);
+    const auto value = parseNumber<double>(text);
     if (!value || !std::isfinite(*value) || *value < 0)
         return std::nullopt;
     return fromSeconds(*value * it->factor);
@@ -105,29 +105,29 @@
     const auto it = file.sections().find(m_section);
     if (it == file.sections().end())
         return;
-    m_left = it->second;
-    m_all = it->second;
+    m_unread = it->second;
+    m_entries = it->second;
 }
 
 const IniEntry *IniReader::find(std::string_view key)
 {
-    const auto it = m_all.find(std::string(key));
-    if (it == m_all.end())
+    const auto it = m_entries.find(std::string(key));
+    if (it == m_entries.end())
         return nullptr;
-    m_left.erase(it->first);
+    m_unread.erase(it->first);
     return &it->second;
 }
 
 bool IniReader::has(std::string_view key) const
 {
-    return m_all.contains(std::string(key));
+    return m_entries.contains(std::string(key));
 }
 
-void IniReader::fault(std::string_view key, unsigned line, std::string_view expected)
+void IniReader::setError(std::string_view key, unsigned line, std::string_view expected)
 {
-    if (m_fault)
+    if (m_error)
         return;
-    m_fault = fmt::format("{}:{}: key '{}' in section '{}': expected {}", m_file.source(), line,
+    m_error = fmt::format("{}:{}: key '{}' in section '{}': expected {}", m_file.source(), line,
                           key, m_section, expected);
 }
 
@@ -152,12 +152,12 @@
     const IniEntry *entry = find(key);
     if (!entry)
         return *this;
-    const auto value = parseWhole<std::int64_t>(entry->value);
+    const auto value = parseNumber<std::int64_t>(entry->value);
     if (value && *value >= low && *value <= high)
         *out = *value;
     else
-        fault(key, entry->line,
-              fmt::format("a whole number from {} to {}, found '{}'", low, high, entry->value));
+        setError(key, entry->line,
+                 fmt::format("a whole number from {} to {}, found '{}'", low, high, entry->value));
     return *this;
 }
 
@@ -166,12 +166,12 @@
     const IniEntry *entry = find(key);
     if (!entry)
         return *this;
-    const auto value = parseWhole<double>(entry->value);
+    const auto value = parseNumber<double>(entry->value);
     if (value && *value >= low && *value <= high)
         *out = *value;
     else
-        fault(key, entry->line,
-              fmt::format("a number from {} to {}, found '{}'", low, high, entry->value));
+        setError(key, entry->line,
+                 fmt::format("a number from {} to {}, found '{}'", low, high, entry->value));
     return *this;
 }
 
@@ -184,9 +184,9 @@
     if (value && *value >= low && *value <= high)
         *out = *value;
     else
-        fault(key, entry->line,
-              fmt::format("a duration with unit from {} to {}, found '{}'", formatDuration(low),
-                          formatDuration(high), entry->value));
+        setError(key, entry->line,
+                 fmt::format("a duration with unit from {} to {}, found '{}'", formatDuration(low),
+                             formatDuration(high), entry->value));
     return *this;
 }
 
@@ -200,8 +200,8 @@
     if (it != words.end())
         *out = static_cast<std::size_t>(it - words.begin());
     else
-        fault(key, entry->line,
-              fmt::format("one of {}, found '{}'", fmt::join(words, ", "), entry->value));
+        setError(key, entry->line,
+                 fmt::format("one of {}, found '{}'", fmt::join(words, ", "), entry->value));
     return *this;
 }
 
@@ -222,17 +222,17 @@
 IniReader &IniReader::require(std::string_view key)
 {
     if (!has(key))
-        fault(key, 0, "a value, found none");
+        setError(key, 0, "a value, found none");
     return *this;
 }
 
 std::optional<std::string> IniReader::finish()
 {
-    if (!m_fault && !m_left.empty()) {
-        const auto &[key, entry] = *m_left.begin();
-        fault(key, entry.line, "a known key, found one that nothing reads");
+    if (!m_error && !m_unread.empty()) {
+        const auto &[key, entry] = *m_unread.begin();
+        setError(key, entry.line, "a known key, found one that nothing reads");
     }
-    return m_fault;
+    return m_error;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/inifile_test.cpp
+++ b/src/libreachlead/inifile_test.cpp
@@ -11,11 +11,11 @@
 {
     CPPUNIT_TEST_SUITE(IniFileTest);
     CPPUNIT_TEST(readsTypedValues);
-    CPPUNIT_TEST(namesEveryFault);
-    CPPUNIT_TEST(durationsKeepTheirUnit);
+    CPPUNIT_TEST(errorsNameTheirCause);
+    CPPUNIT_TEST(durationsNeedAUnit);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::string faultOf(const std::string &text)
+    static std::string errorIn(const std::string &text)
     {
         std::string reason;
         const auto file = IniFile::parse(text, "x.ini", &reason);
@@ -32,28 +32,28 @@
         return reader.finish().value_or("");
     }
 
-    void readsTypedValues() { CPPUNIT_ASSERT_EQUAL(std::string(), faultOf("[s]\nn = 3\nd=2s\n")); }
+    void readsTypedValues() { CPPUNIT_ASSERT_EQUAL(std::string(), errorIn("[s]\nn = 3\nd=2s\n")); }
 
-    void namesEveryFault()
+    void errorsNameTheirCause()
     {
-        const auto says = [](const std::string &text, const std::string &part) {
-            const std::string fault = faultOf(text);
-            CPPUNIT_ASSERT_MESSAGE(fault, fault.find(part) != std::string::npos);
-            CPPUNIT_ASSERT_MESSAGE(fault, fault.starts_with("x.ini:"));
+        const auto expectError = [](const std::string &text, const std::string &part) {
+            const std::string error = errorIn(text);
+            CPPUNIT_ASSERT_MESSAGE(error, error.find(part) != std::string::npos);
+            CPPUNIT_ASSERT_MESSAGE(error, error.starts_with("x.ini:"));
         };
-        says("[s]\n", "key 'n' in section 's': expected a value");
-        says("[s]\nn = 12\n",
-             "x.ini:2: key 'n' in section 's': expected a whole number from 1 to 9");
-        says("[s]\nn = 1x\n", "found '1x'");
-        says("[s]\nn = 1\nd = 5\n", "expected a duration with unit");
-        says("[s]\nn = 1\nd = 10s\n", "from 1ms to 9s");
-        says("[s]\nn = 1\nw = later\n", "expected one of deliver, drop");
-        says("[s]\nn = 1\nnn = 2\n", "x.ini:3: key 'nn'");
-        says("[s]\nn = 1\nn = 2\n", "stands twice");
-        says("[s]\njust words\n", "x.ini:2: expected 'key = value'");
+        expectError("[s]\n", "key 'n' in section 's': expected a value");
+        expectError("[s]\nn = 12\n",
+                    "x.ini:2: key 'n' in section 's': expected a whole number from 1 to 9");
+        expectError("[s]\nn = 1x\n", "found '1x'");
+        expectError("[s]\nn = 1\nd = 5\n", "expected a duration with unit");
+        expectError("[s]\nn = 1\nd = 10s\n", "from 1ms to 9s");
+        expectError("[s]\nn = 1\nw = later\n", "expected one of deliver, drop");
+        expectError("[s]\nn = 1\nnn = 2\n", "x.ini:3: key 'nn'");
+        expectError("[s]\nn = 1\nn = 2\n", "stands twice");
+        expectError("[s]\njust words\n", "x.ini:2: expected 'key = value'");
     }
 
-    void durationsKeepTheirUnit()
+    void durationsNeedAUnit()
     {
         CPPUNIT_ASSERT(parseDuration("250ms") == Duration(milliseconds(250)));
         CPPUNIT_ASSERT(parseDuration("1.5s") == Duration(milliseconds(1500)));
