--- a/src/include/reachlead/log.h
+++ b/src/include/reachlead/log.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Structured logs: one line of key=value pairs for each event, to standard output.
+/// Structured logging: one line of key=value pairs per event, to standard output.
 
 #pragma once
 
@@ -16,11 +16,11 @@
 
 enum class LogLevel : std::uint8_t { Debug, Info, Warn, Error };
 
-/// Sets the least level that is written. Thread-safe.
+/// Sets the minimum level that is written. Thread-safe.
 void setLogLevel(LogLevel level);
 
-/// Has a thread write the lines from now on, until the object ends. Without one, each line is
-/// written by the thread that logs: tests and short programs need no more.
+/// Writes log lines from a background thread during its lifetime. Without it, each line is written
+/// by the logging thread, which is enough for tests and short programs.
 class BackgroundLog
 {
 public:
@@ -30,14 +30,14 @@
     BackgroundLog &operator=(const BackgroundLog &) = delete;
 };
 
-/// Sets the program name that each line carries.
+/// Sets the program name in each line.
 void setLogProgram(std::string_view program);
 
-/// Quotes a value so that it stays one token on one line, whatever bytes it holds. Values of
-/// more than 256 bytes are cut and marked.
+/// Quotes a value so that it is one token on one line, whatever bytes it contains. Values longer
+/// than 256 bytes are truncated and end with `...`.
 std::string quoteLogValue(std::string_view value);
 
-/// Builds and writes one line. The line goes out when the object ends:
+/// Builds one line and writes it on destruction:
 /// `LogLine(LogLevel::Info, "session-opened").with("vm", name);`
 class LogLine
 {
@@ -47,7 +47,7 @@
     LogLine(const LogLine &) = delete;
     LogLine &operator=(const LogLine &) = delete;
 
-    /// Adds a pair. Never pass secrets, prompts or answers.
+    /// Adds a key=value pair. Never pass secrets, prompts or answers.
     template <class T> LogLine &with(std::string_view key, const T &value)
     {
         if (m_enabled)
--- a/src/include/reachlead/logwriter.h
+++ b/src/include/reachlead/logwriter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The thread that writes log lines, so that no other thread waits for an output that is slow.
+/// Background thread that writes log lines, so that logging threads do not block on slow output.
 
 #pragma once
 
@@ -17,18 +17,16 @@
 
 namespace reachlead {
 
-/// Bounds what a process logs: a budget of lines that fills up again with time. Not thread-safe,
-/// reads no clock.
+/// Token bucket that limits the lines which a process logs. Not thread-safe; the time is passed in.
 class LogBudget
 {
 public:
-    /// Takes one line; false when the budget is used up.
+    /// Takes the budget of one line; returns false when it is used up.
     bool take(Time now);
 
-    /// Lines for each second in the long run. A line costs about 5 microseconds of the processor,
-    /// so this is 0.2 % of a core.
+    /// Sustained rate. A line takes about 5 microseconds of CPU time, so this is 0.2 % of a core.
     static constexpr double linesPerSecond = 400.0;
-    /// Lines that may come at once, as when a whole zone's upstreams leave.
+    /// Lines that may be logged at once, as when all upstreams of a zone leave.
     static constexpr double burst = 2000.0;
 
 private:
@@ -36,27 +34,28 @@
     Time m_filledAt{};
 };
 
-/// Takes lines from any thread and writes them from its own. Never blocks whoever logs: lines over
-/// the budget or beyond the buffer are dropped and counted, and a line tells how many.
+/// Accepts lines from any thread and writes them from its own. The logging thread never waits for
+/// output: lines that exceed the budget or the buffer are dropped, and a log line reports how many.
 class LogWriter
 {
 public:
     using Write = std::function<void(const std::string &)>;
 
     explicit LogWriter(Write write);
-    /// Writes what waits.
+    /// Writes the buffered lines.
     ~LogWriter();
     LogWriter(const LogWriter &) = delete;
     LogWriter &operator=(const LogWriter &) = delete;
 
-    /// Hands over one line, its end included. \p urgent lines pass the budget, not the buffer.
-    void put(const std::string &line, bool urgent);
+    /// Buffers one line, including its newline. \p isUrgent lines are exempt from the budget, but
+    /// not from the buffer's limit.
+    void put(const std::string &line, bool isUrgent);
 
-    /// Lines dropped so far.
+    /// Returns the number of lines dropped so far.
     std::uint64_t dropped() const;
 
-    static constexpr std::size_t maxBufferedBytes = 512U << 10U; ///< bytes in the buffer
-    /// Lines are gathered this long, as each write wakes a thread and makes a system call.
+    static constexpr std::size_t maxBufferedBytes = 512U << 10U;
+    /// Lines are batched for this long, as each write wakes a thread and makes a system call.
     static constexpr std::chrono::milliseconds flushInterval{200};
 
 private:
@@ -65,11 +64,11 @@
     Write m_write;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
-    LogBudget m_budget; ///< guarded by m_mutex, as all below but the thread
-    std::string m_waiting;
+    LogBudget m_budget; ///< guarded by m_mutex, like all below but m_thread
+    std::string m_buffer;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_told = 0; ///< of m_dropped
-    bool m_ending = false;
+    std::uint64_t m_reportedDropped = 0; ///< the part of m_dropped that was logged
+    bool m_isStopping = false;
     std::thread m_thread;
 };
 
--- a/src/libreachlead/log.cpp
+++ b/src/libreachlead/log.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-constexpr std::size_t longestValue = 256;
+constexpr std::size_t maxValueBytes = 256;
 
-std::atomic<LogLevel> leastLevel{LogLevel::Info};
+std::atomic<LogLevel> minLevel{LogLevel::Info};
 
-/// Set while a BackgroundLog lives.
-std::atomic<LogWriter *> writer{nullptr};
+/// Set while a BackgroundLog exists.
+std::atomic<LogWriter *> backgroundWriter{nullptr};
 
-void writeOut(const std::string &text)
+void writeToStdout(const std::string &text)
 {
     std::fwrite(text.data(), 1, text.size(), stdout);
     std::fflush(stdout);
@@ -52,7 +52,7 @@
 
 void setLogLevel(LogLevel level)
 {
-    leastLevel.store(level);
+    minLevel.store(level);
 }
 
 void setLogProgram(std::string_view program)
@@ -62,9 +62,9 @@
 
 std::string quoteLogValue(std::string_view value)
 {
-    const bool cut = value.size() > longestValue;
-    const std::string_view kept = value.substr(0, longestValue);
-    if (!cut && !kept.empty() && std::ranges::all_of(kept, isPlain))
+    const bool isTruncated = value.size() > maxValueBytes;
+    const std::string_view kept = value.substr(0, maxValueBytes);
+    if (!isTruncated && !kept.empty() && std::ranges::all_of(kept, isPlain))
         return std::string(kept);
     std::string quoted = "\"";
     for (const char c : kept) {
@@ -76,22 +76,22 @@
         else
             quoted += c;
     }
-    quoted += cut ? "...\"" : "\"";
+    quoted += isTruncated ? "...\"" : "\"";
     return quoted;
 }
 
 BackgroundLog::BackgroundLog()
 {
-    writer.store(new LogWriter(writeOut));
+    backgroundWriter.store(new LogWriter(writeToStdout));
 }
 
 BackgroundLog::~BackgroundLog()
 {
-    delete writer.exchange(nullptr);
+    delete backgroundWriter.exchange(nullptr);
 }
 
 LogLine::LogLine(LogLevel level, std::string_view event)
-    : m_level(level), m_enabled(level >= leastLevel.load())
+    : m_level(level), m_enabled(level >= minLevel.load())
 {
     if (!m_enabled)
         return;
@@ -108,10 +108,10 @@
     if (!m_enabled)
         return;
     m_line += '\n';
-    if (LogWriter *background = writer.load())
+    if (LogWriter *background = backgroundWriter.load())
         background->put(m_line, m_level >= LogLevel::Warn);
     else
-        writeOut(m_line);
+        writeToStdout(m_line);
 }
 
 void LogLine::append(std::string_view key, std::string_view value)
--- a/src/libreachlead/logwriter.cpp
+++ b/src/libreachlead/logwriter.cpp
@@ -27,26 +27,26 @@
 {
     {
         const std::scoped_lock lock(m_mutex);
-        m_ending = true;
+        m_isStopping = true;
     }
     m_changed.notify_one();
     m_thread.join();
 }
 
-void LogWriter::put(const std::string &line, bool urgent)
+void LogWriter::put(const std::string &line, bool isUrgent)
 {
-    bool first = false;
+    bool isFirst = false;
     {
         const std::scoped_lock lock(m_mutex);
-        const bool inBudget = m_budget.take(RuntimeClock::now()) || urgent;
-        if (!inBudget || m_waiting.size() + line.size() > maxBufferedBytes) {
+        const bool inBudget = m_budget.take(RuntimeClock::now()) || isUrgent;
+        if (!inBudget || m_buffer.size() + line.size() > maxBufferedBytes) {
             ++m_dropped;
             return;
         }
-        first = m_waiting.empty();
-        m_waiting += line;
+        isFirst = m_buffer.empty();
+        m_buffer += line;
     }
-    if (first)
+    if (isFirst)
         m_changed.notify_one();
 }
 
@@ -60,21 +60,21 @@
 {
     std::unique_lock lock(m_mutex);
     while (true) {
-        m_changed.wait(lock, [this] { return m_ending || !m_waiting.empty(); });
-        if (!m_ending)
-            m_changed.wait_for(lock, flushInterval, [this] { return m_ending; });
-        std::string taken;
-        taken.swap(m_waiting);
-        if (m_dropped > m_told)
-            taken +=
-                fmt::format("level=warn event=log-lines-dropped count={}\n", m_dropped - m_told);
-        m_told = m_dropped;
-        const bool ending = m_ending;
+        m_changed.wait(lock, [this] { return m_isStopping || !m_buffer.empty(); });
+        if (!m_isStopping)
+            m_changed.wait_for(lock, flushInterval, [this] { return m_isStopping; });
+        std::string batch;
+        batch.swap(m_buffer);
+        if (m_dropped > m_reportedDropped)
+            batch += fmt::format("level=warn event=log-lines-dropped count={}\n",
+                                 m_dropped - m_reportedDropped);
+        m_reportedDropped = m_dropped;
+        const bool isStopping = m_isStopping;
         lock.unlock();
-        if (!taken.empty())
-            m_write(taken);
+        if (!batch.empty())
+            m_write(batch);
         lock.lock();
-        if (ending && m_waiting.empty())
+        if (isStopping && m_buffer.empty())
             return;
     }
 }
