--- a/src/include/reachlead/platform.h
+++ b/src/include/reachlead/platform.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The one narrow interface to the platform's service: objects with versions, conditional
-/// updates, watches, and the membership list. Nothing outside src/platform/ knows its wire shape.
+/// Interface to the platform's service: versioned objects, conditional updates, watches, and the
+/// membership list. Its wire format is private to src/objectapi/ and the service's stand-in.
 
 #pragma once
 
@@ -18,10 +18,10 @@
 
 namespace reachlead {
 
-/// The platform's version of an object; rises with each change of any object. 0: does not exist.
+/// Version of an object; increases with each change of any object. 0: the object does not exist.
 enum class ObjectVersion : std::uint64_t { };
 
-/// An object as it stood at a version.
+/// An object at a given version.
 struct PlatformObject
 {
     std::string key;
@@ -30,51 +30,51 @@
     bool deleted = false;
 };
 
-/// How a call to the platform ended.
+/// Result of a call to the platform.
 enum class PlatformStatus : std::uint8_t {
     Ok,
     NotFound,
-    Conflict, ///< a conditional update met another version; nothing changed
-    Unavailable, ///< the call was not taken, or nothing is known of a read
-    Indeterminate ///< a write may or may not have taken effect: read back before doing anything
+    Conflict, ///< the object has another version; nothing was changed
+    Unavailable, ///< the call was not executed, or the result of a read is unknown
+    Indeterminate ///< a write may or may not have taken effect; read it back first
 };
 
-/// The answer to a call.
+/// Reply to a call.
 struct PlatformReply
 {
     PlatformStatus status = PlatformStatus::Unavailable;
     ObjectVersion version{}; ///< of the object, or of the whole store for lists and watches
     std::vector<PlatformObject> objects;
-    std::string reason; ///< for people, when status is not Ok
+    std::string reason; ///< human-readable, when status is not Ok
 
     bool ok() const { return status == PlatformStatus::Ok; }
 };
 
-/// What a VM is for.
+/// Role of a VM.
 enum class MemberRole : std::uint8_t { Router, Agent };
 
-/// One VM of the membership list.
+/// A VM in the membership list.
 struct Member
 {
     VmName vm;
     MemberRole role = MemberRole::Router;
     ZoneName zone;
-    std::string address; ///< IP number
-    std::uint16_t port = 0; ///< where the process takes peer sessions
+    std::string address; ///< IP address
+    std::uint16_t port = 0; ///< on which the process accepts peer sessions
     bool leaving = false;
-    TargetName target; ///< of an agent; empty: the list does not say
+    TargetName target; ///< of an agent; empty: not in the list
 
     bool operator==(const Member &) const = default;
 };
 
-/// The membership list, which lags.
+/// The membership list, which may be out of date.
 struct MemberList
 {
     bool known = false; ///< false: the list could not be read
     std::vector<Member> members;
 };
 
-/// The platform's service. One thread uses an instance.
+/// Client of the platform's service. An instance is used by one thread.
 class Platform
 {
 public:
@@ -91,7 +91,8 @@
                                          ObjectVersion expected) = 0;
     /// Deletes an object if its version is \p expected.
     virtual Awaitable<PlatformReply> remove(std::string key, ObjectVersion expected) = 0;
-    /// Waits up to \p wait for changes under \p prefix after \p from; an empty list: none came.
+    /// Waits up to \p wait for changes under \p prefix after \p from; an empty list: there
+    /// were none.
     virtual Awaitable<PlatformReply> watch(std::string prefix, ObjectVersion from,
                                            Duration wait) = 0;
     /// Reads the membership list.
--- a/src/include/reachlead/ringbuffer.h
+++ b/src/include/reachlead/ringbuffer.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The bounded ring that joins two threads.
+/// A bounded message queue between threads.
 
 #pragma once
 
@@ -17,20 +17,20 @@
 
 namespace reachlead {
 
-/// A bounded queue of messages for one consuming thread. Thread-safe.
+/// A bounded queue of messages for one consumer thread. Thread-safe.
 ///
-/// The consumer is woken through a callback (usually a post to its io_context) once for any
-/// number of messages that wait. A full ring refuses the push; the producer decides what that
-/// means, and sizes the ring so that only bounded, per-request traffic meets it.
+/// The consumer is woken through a callback, usually a post to its io_context, once for any number
+/// of pending messages. push() fails when the buffer is full. The producer handles that, and sizes
+/// the buffer so that only bounded, per-request traffic can find it full.
 template <class T> class RingBuffer
 {
 public:
-    /// A ring of at most \p capacity messages; \p wake is called from the producer's thread.
+    /// Holds at most \p capacity messages; \p wake is called in the producer's thread.
     RingBuffer(std::size_t capacity, std::function<void()> wake)
         : m_items(capacity), m_wake(std::move(wake))
     { }
 
-    /// Appends a message; false when the ring is full.
+    /// Appends a message; returns false when the buffer is full.
     bool push(T item)
     {
         {
@@ -38,28 +38,28 @@
             if (m_items.full())
                 return false;
             m_items.push_back(std::move(item));
-            if (std::exchange(m_woken, true))
+            if (std::exchange(m_isWakePending, true))
                 return true;
         }
         m_wake();
         return true;
     }
 
-    /// Takes all that waits, in order. Only the consumer calls it.
+    /// Removes and returns all pending messages in order. Called by the consumer only.
     std::vector<T> drain()
     {
         std::scoped_lock lock(m_mutex);
-        std::vector<T> taken(std::make_move_iterator(m_items.begin()),
-                             std::make_move_iterator(m_items.end()));
+        std::vector<T> drained(std::make_move_iterator(m_items.begin()),
+                               std::make_move_iterator(m_items.end()));
         m_items.clear();
-        m_woken = false;
-        return taken;
+        m_isWakePending = false;
+        return drained;
     }
 
 private:
     std::mutex m_mutex;
     boost::circular_buffer<T> m_items;
-    bool m_woken = false;
+    bool m_isWakePending = false;
     std::function<void()> m_wake;
 };
 
--- a/src/include/reachlead/settingstree.h
+++ b/src/include/reachlead/settingstree.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The settings tree: one INI text for each node, kept by the platform, checked as a whole.
+/// The settings tree: one INI text per node, stored by the platform and validated as a whole.
 
 #pragma once
 
@@ -17,23 +17,23 @@
 
 namespace reachlead {
 
-/// Where the nodes stand at the platform. Below it: `classes/NAME`, `accounts/NAME`, `fleet`.
+/// Key prefix of the nodes at the platform. Below it: `classes/NAME`, `accounts/NAME`, `fleet`.
 inline constexpr std::string_view settingsPrefix = "settings/";
 
-/// The largest text of one node, in bytes.
+/// The size limit of a node's text.
 inline constexpr std::size_t maxNodeBytes = 1U << 20U;
 
-/// Texts of nodes by their path below settingsPrefix.
+/// Texts of the nodes, by path below settingsPrefix.
 using SettingsTexts = std::map<std::string, std::string>;
 
-/// Checks a whole tree and makes policies of it. Empty with \p reason set on the first fault:
-/// the node, the key, the value and what was expected.
+/// Validates a whole tree and builds policies from it. On the first error, returns nothing and sets
+/// \p reason to the node, the key, the value and what was expected.
 std::optional<Policies> buildPolicies(const SettingsTexts &texts, std::string *reason);
 
-/// A copy of the tree that only moves forward. Not thread-safe.
+/// A copy of the tree that never goes back to older versions. Not thread-safe.
 ///
-/// Each object is applied by its version alone. A deleted object leaves a mark with the version
-/// of its deletion, so that a late read cannot bring it back.
+/// Only the version of an object decides whether it is applied. A deleted object leaves a tombstone
+/// with the version of its deletion, so that a late read cannot restore it.
 class SettingsReplica
 {
 public:
@@ -41,28 +41,28 @@
     bool apply(const PlatformObject &object);
 
     /// Applies a full list read at \p storeVersion: objects missing from it are deleted, unless
-    /// they are newer here than the list.
+    /// this replica holds them at a newer version than the list's.
     void applyList(const std::vector<PlatformObject> &objects, ObjectVersion storeVersion);
 
     /// The highest version applied.
     ObjectVersion version() const { return m_version; }
 
-    /// A digest over paths and versions; the same on all replicas that hold the same.
+    /// A digest over keys and versions; equal on replicas with equal objects.
     std::uint64_t digest() const { return m_digest; }
 
-    /// The policies in force: of the last tree that was whole and valid. Null before the first.
+    /// The policies in force, built from the last valid tree. Null before the first.
     PoliciesPtr policies() const { return m_policies; }
 
-    /// Why the present tree is not in force; empty when it is.
+    /// Why the current tree is not in force; empty when it is.
     const std::string &lastReason() const { return m_reason; }
 
-    /// Makes policies of what was applied; call after a batch of apply().
+    /// Builds the policies from the applied objects; call after a batch of apply().
     void rebuild();
 
     /// All nodes that are not deleted.
     SettingsTexts texts() const;
 
-    /// All objects, marks of deletion included, for a peer that has none.
+    /// All objects, including tombstones, for a peer that has none.
     std::vector<PlatformObject> objects() const;
 
 private:
@@ -70,7 +70,7 @@
     ObjectVersion m_version{};
     std::uint64_t m_digest = 0;
     PoliciesPtr m_policies;
-    std::string m_reason = "no settings were read yet";
+    std::string m_reason = "no settings have been read yet";
 };
 
 } // namespace reachlead
--- a/src/libreachlead/settingstree.cpp
+++ b/src/libreachlead/settingstree.cpp
@@ -18,11 +18,11 @@
 constexpr std::string_view classesPrefix = "classes/";
 constexpr std::string_view accountsPrefix = "accounts/";
 constexpr std::string_view fleetPath = "fleet";
-constexpr std::size_t deepestTree = 16;
-/// Above this sum the floors would leave too little to order by tier.
-constexpr double mostFloors = 0.5;
+constexpr std::size_t maxTreeDepth = 16;
+/// A higher sum of floors would leave too little capacity to schedule by tier.
+constexpr double maxFloorSum = 0.5;
 
-constexpr std::int64_t most = 1'000'000'000;
+constexpr std::int64_t maxLimit = 1'000'000'000;
 
 std::optional<std::string> readClass(const std::string &path, const std::string &text,
                                      Policies *policies)
@@ -44,7 +44,7 @@
         .takeDuration("deadline", milliseconds(1), seconds(86400), &cls.deadline)
         .takeEnum("late", {"deliver", "drop"}, &late)
         .takeFlag("repeatable", &cls.repeatable)
-        .takeNumber("floor", 0, mostFloors, &cls.floor)
+        .takeNumber("floor", 0, maxFloorSum, &cls.floor)
         .takeNumber("weight", 0.001, 1000, &cls.weight)
         .takeInteger("queue_bound", 1, 1'000'000, &queueBound);
     cls.tier = static_cast<Tier>(tier);
@@ -60,8 +60,8 @@
     std::int64_t connections = 0;
     double rate = 0;
     double share = 0;
-    reader.takeInteger("concurrency", 1, most, &concurrency)
-        .takeInteger("connections", 1, most, &connections)
+    reader.takeInteger("concurrency", 1, maxLimit, &concurrency)
+        .takeInteger("connections", 1, maxLimit, &connections)
         .takeNumber("tokens_per_second", 0.001, 1e12, &rate)
         .takeNumber("queue_share", 0.0001, 1, &share);
     if (reader.has("concurrency"))
@@ -99,9 +99,9 @@
                            [](const std::string &s) { return ClassName(s); });
     std::ranges::transform(targets, std::back_inserter(account.targets),
                            [](const std::string &s) { return TargetName(s); });
-    const auto fault = readLimits(reader, &account.limits);
+    const auto error = readLimits(reader, &account.limits);
     policies->accounts.emplace(account.name, std::move(account));
-    return fault;
+    return error;
 }
 
 std::optional<std::string> readFleet(const std::string &path, const std::string &text,
@@ -132,17 +132,17 @@
     return fmt::format("{}: expected classes/NAME, accounts/NAME or fleet", path);
 }
 
-/// The account and its ancestors, nearest first; a fault where the line has no end.
-std::optional<std::string> lineOf(const Policies &policies, const AccountPolicy &account,
-                                  std::vector<const AccountPolicy *> *line)
+/// Collects the account and its ancestors, nearest first. A cycle or a missing parent is an error.
+std::optional<std::string> collectAncestors(const Policies &policies, const AccountPolicy &account,
+                                            std::vector<const AccountPolicy *> *chain)
 {
     const AccountPolicy *it = &account;
     while (it) {
-        line->push_back(it);
-        if (line->size() > deepestTree)
-            return fmt::format("accounts/{}: key 'parent': expected a line of at most {} accounts "
+        chain->push_back(it);
+        if (chain->size() > maxTreeDepth)
+            return fmt::format("accounts/{}: key 'parent': expected a chain of at most {} accounts "
                                "without a cycle",
-                               account.name.text, deepestTree);
+                               account.name.text, maxTreeDepth);
         if (it->parent.empty())
             return std::nullopt;
         const AccountPolicy *parent = policies.findAccount(it->parent);
@@ -155,31 +155,31 @@
 }
 
 template <class T>
-std::optional<std::string> checkBelow(const AccountPolicy &child, const AccountPolicy &parent,
+std::optional<std::string> checkLimit(const AccountPolicy &child, const AccountPolicy &parent,
                                       std::string_view key, std::optional<T> AccountLimits::*limit)
 {
-    const std::optional<T> &mine = child.limits.*limit;
-    const std::optional<T> &theirs = parent.limits.*limit;
-    if (!mine || !theirs || *mine <= *theirs)
+    const std::optional<T> &childLimit = child.limits.*limit;
+    const std::optional<T> &parentLimit = parent.limits.*limit;
+    if (!childLimit || !parentLimit || *childLimit <= *parentLimit)
         return std::nullopt;
     return fmt::format("accounts/{}: key '{}': expected at most {} as set by accounts/{}, found {}",
-                       child.name.text, key, *theirs, parent.name.text, *mine);
+                       child.name.text, key, *parentLimit, parent.name.text, *childLimit);
 }
 
 std::optional<std::string> checkLimits(const AccountPolicy &child, const AccountPolicy &parent)
 {
-    if (auto fault = checkBelow(child, parent, "concurrency", &AccountLimits::concurrency))
-        return fault;
-    if (auto fault =
-            checkBelow(child, parent, "tokens_per_second", &AccountLimits::tokensPerSecond))
-        return fault;
-    return checkBelow(child, parent, "queue_share", &AccountLimits::queueShare);
+    if (auto error = checkLimit(child, parent, "concurrency", &AccountLimits::concurrency))
+        return error;
+    if (auto error =
+            checkLimit(child, parent, "tokens_per_second", &AccountLimits::tokensPerSecond))
+        return error;
+    return checkLimit(child, parent, "queue_share", &AccountLimits::queueShare);
 }
 
-/// Fills in what an account inherits. Limits stay where they are set: the limiter walks the line.
-void inherit(AccountPolicy &account, const std::vector<const AccountPolicy *> &line)
+/// Fills in inherited fields. Limits are not inherited, as the limiter checks each ancestor's.
+void inherit(AccountPolicy &account, const std::vector<const AccountPolicy *> &chain)
 {
-    for (const AccountPolicy *ancestor : line) {
+    for (const AccountPolicy *ancestor : chain) {
         if (account.defaultClass.empty())
             account.defaultClass = ancestor->defaultClass;
         if (account.classes.empty())
@@ -207,34 +207,34 @@
     double sum = 0;
     for (const auto &[name, cls] : policies.classes)
         sum += cls.floor;
-    if (sum <= mostFloors)
+    if (sum <= maxFloorSum)
         return std::nullopt;
-    return fmt::format("classes: key 'floor': expected a sum of at most {}, found {}", mostFloors,
+    return fmt::format("classes: key 'floor': expected a sum of at most {}, found {}", maxFloorSum,
                        sum);
 }
 
 std::optional<std::string> finishTree(Policies *policies)
 {
-    if (auto fault = checkFloors(*policies))
-        return fault;
-    const Policies asWritten = *policies;
+    if (auto error = checkFloors(*policies))
+        return error;
+    const Policies unresolved = *policies;
     for (auto &[name, account] : policies->accounts) {
-        std::vector<const AccountPolicy *> line;
-        const AccountPolicy &own = asWritten.accounts.at(name);
-        if (auto fault = lineOf(asWritten, own, &line))
-            return fault;
-        for (const AccountPolicy *ancestor : line) {
-            if (auto fault = checkLimits(own, *ancestor))
-                return fault;
+        std::vector<const AccountPolicy *> chain;
+        const AccountPolicy &unresolvedAccount = unresolved.accounts.at(name);
+        if (auto error = collectAncestors(unresolved, unresolvedAccount, &chain))
+            return error;
+        for (const AccountPolicy *ancestor : chain) {
+            if (auto error = checkLimits(unresolvedAccount, *ancestor))
+                return error;
         }
-        inherit(account, line);
-        if (auto fault = checkAccount(*policies, account))
-            return fault;
+        inherit(account, chain);
+        if (auto error = checkAccount(*policies, account))
+            return error;
     }
     return std::nullopt;
 }
 
-std::uint64_t computeDigest(const PlatformObject &object)
+std::uint64_t objectDigest(const PlatformObject &object)
 {
     const auto version = static_cast<std::uint64_t>(object.version);
     return XXH64(object.key.data(), object.key.size(), version);
@@ -246,13 +246,13 @@
 {
     Policies policies;
     for (const auto &[path, text] : texts) {
-        if (const auto fault = readNode(path, text, &policies)) {
-            *reason = *fault;
+        if (const auto error = readNode(path, text, &policies)) {
+            *reason = *error;
             return std::nullopt;
         }
     }
-    if (const auto fault = finishTree(&policies)) {
-        *reason = *fault;
+    if (const auto error = finishTree(&policies)) {
+        *reason = *error;
         return std::nullopt;
     }
     return policies;
@@ -264,10 +264,10 @@
     if (it != m_objects.end()) {
         if (it->second.version >= object.version)
             return false;
-        m_digest ^= computeDigest(it->second);
+        m_digest ^= objectDigest(it->second);
     }
     m_objects[object.key] = object;
-    m_digest ^= computeDigest(object);
+    m_digest ^= objectDigest(object);
     m_version = std::max(m_version, object.version);
     return true;
 }
