--- a/src/include/reachlead/sockettimeouts.h
+++ b/src/include/reachlead/sockettimeouts.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How long a TCP connection may go without a sign of life.
+/// Timeouts that detect dead TCP peers.
 
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace reachlead {
 
-/// Without an acknowledgement of sent bytes for this long, a connection is given up: a few
-/// retransmissions on links of a few ms.
+/// A connection is closed when sent data stays unacknowledged for this long. Allows for a few
+/// retransmissions on links with a latency of a few ms.
 inline constexpr Duration ackTimeout = milliseconds(2000);
 
-/// Sends without delay, and has the kernel find a peer that lost power or is cut off: after
-/// ackTimeout with bytes under way, and after about three seconds of silence without.
+/// Disables Nagle's algorithm, and has the kernel detect a peer that lost power or is partitioned:
+/// after ackTimeout while data is in flight, and after about three seconds on an idle connection.
 void setSocketTimeouts(boost::asio::ip::tcp::socket &socket);
 
 } // namespace reachlead
--- a/src/libreachlead/sockettimeouts.cpp
+++ b/src/libreachlead/sockettimeouts.cpp
@@ -14,22 +14,22 @@
 
 template <int name> using TcpOption = asio::detail::socket_option::integer<IPPROTO_TCP, name>;
 
-constexpr int probeAfterSeconds = 1; ///< of silence
-constexpr int probeEverySeconds = 1;
-constexpr int probesUnanswered = 2; ///< then the connection is given up
+constexpr int keepAliveIdleSeconds = 1;
+constexpr int keepAliveIntervalSeconds = 1;
+constexpr int keepAliveProbes = 2; ///< unanswered; then the connection is closed
 
 } // namespace
 
 void setSocketTimeouts(asio::ip::tcp::socket &socket)
 {
-    const auto unackedMs = static_cast<int>(toMillis(ackTimeout));
-    boost::system::error_code ec; // an option that the kernel lacks only makes the search slower
+    const auto ackTimeoutMs = static_cast<int>(toMillis(ackTimeout));
+    boost::system::error_code ec; // ignored: an option that the kernel lacks only delays detection
     socket.set_option(asio::ip::tcp::no_delay(true), ec);
     socket.set_option(asio::socket_base::keep_alive(true), ec);
-    socket.set_option(TcpOption<TCP_KEEPIDLE>(probeAfterSeconds), ec);
-    socket.set_option(TcpOption<TCP_KEEPINTVL>(probeEverySeconds), ec);
-    socket.set_option(TcpOption<TCP_KEEPCNT>(probesUnanswered), ec);
-    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(unackedMs), ec);
+    socket.set_option(TcpOption<TCP_KEEPIDLE>(keepAliveIdleSeconds), ec);
+    socket.set_option(TcpOption<TCP_KEEPINTVL>(keepAliveIntervalSeconds), ec);
+    socket.set_option(TcpOption<TCP_KEEPCNT>(keepAliveProbes), ec);
+    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(ackTimeoutMs), ec);
 }
 
 } // namespace reachlead
