--- a/src/include/reachlead/usageplatform.h
+++ b/src/include/reachlead/usageplatform.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The border to what keeps the record of the usage duty and takes the reports.
+/// Interface to the store of the usage record and to the service that accepts usage reports.
 
 #pragma once
 
@@ -16,24 +16,24 @@
 
 namespace reachlead {
 
-/// How a call ended.
+/// Result of a call.
 enum class UsageResult : std::uint8_t {
     Done,
     Conflict, ///< the record has another revision; nothing was done
     Refused, ///< nothing was done
-    Unknown ///< no answer: it may have been done, or be done later
+    Unknown ///< no reply; it may have been done, or be done later
 };
 
-/// What a call brought.
+/// Reply to a call.
 struct UsageReply
 {
     UsageResult result = UsageResult::Unknown;
-    std::optional<StoredUsage> stored; ///< of a read: none when there is no record
-    std::uint64_t revision = 0; ///< of a write that was done
-    std::string reason; ///< why it was not done
+    std::optional<StoredUsage> stored; ///< by a read; none: there is no record
+    std::uint64_t revision = 0; ///< after a successful write
+    std::string reason; ///< why the call failed
 };
 
-/// Makes the calls of the duty, one at a time. On one thread.
+/// Makes the calls of the usage reporter, one at a time. Used by one thread.
 class UsagePlatform
 {
 public:
@@ -41,14 +41,14 @@
 
     virtual boost::asio::awaitable<UsageReply> read() = 0;
 
-    /// Writes over the record of \p revision; none: only where there is no record.
+    /// Overwrites the record at \p revision; without one, writes only if there is no record.
     virtual boost::asio::awaitable<UsageReply> write(UsageRecord record,
                                                      std::optional<std::uint64_t> revision) = 0;
 
-    /// Reports the record's window. After \p limit nothing of it is on its way any more.
+    /// Reports the record's window. After \p limit, none of the report is in flight any more.
     virtual boost::asio::awaitable<UsageReply> send(UsageRecord record, Duration limit) = 0;
 
-    /// Ends all calls.
+    /// Cancels all calls.
     virtual void stop() = 0;
 };
 
--- a/src/include/reachlead/usagetable.h
+++ b/src/include/reachlead/usagetable.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How many calls of each client account began to run in each window of time.
+/// Numbers of calls that started to run, per client account and time window.
 
 #pragma once
 
@@ -18,13 +18,13 @@
 
 namespace reachlead {
 
-/// Numbers the windows of usage: window k begins k times the window's length after 1970.
+/// Number of a usage window: window k starts k window lengths after the start of 1970, UTC.
 using WindowNumber = std::int64_t;
 
-/// Calls that began to run, by account.
+/// Calls that started to run, by account.
 using UsageCounts = std::map<AccountName, std::uint32_t>;
 
-/// One life of one gateway.
+/// One incarnation of a gateway.
 struct GatewayIncarnation
 {
     VmName vm;
@@ -35,73 +35,74 @@
     template <class Archive> void serialize(Archive &ar) { ar(vm, incarnation); }
 };
 
-/// What one life of a gateway counted in one window.
+/// The counts of one gateway incarnation in one window.
 struct WindowUsage
 {
     GatewayIncarnation gateway;
     WindowNumber window = 0;
-    bool isFinal = false; ///< the counts grow no more
+    bool isFinal = false; ///< the counts no longer grow
     UsageCounts counts;
 
     template <class Archive> void serialize(Archive &ar) { ar(gateway, window, isFinal, counts); }
 };
 
-/// The counts of all lives of all gateways that were heard. Not thread-safe, reads no clock.
+/// The counts of all known gateway incarnations. Not thread-safe; the time is passed in.
 ///
-/// A life's count of an account in a window only grows, so words of it may come twice, late and in
-/// any order: the largest is the newest. A life that ended keeps its counts, and the next life of
-/// the VM begins with none, so nothing is counted twice or lost by a restart.
+/// Within an incarnation, the count of an account in a window only grows, so reports may arrive
+/// twice, late and in any order: the largest count is the newest. The counts of an exited
+/// incarnation are kept and the next one of the VM starts without any, so a restart neither loses
+/// calls nor counts them twice.
 class UsageTable
 {
 public:
-    /// \p span is a window's length.
-    UsageTable(GatewayIncarnation self, Duration span) : m_self(std::move(self)), m_span(span) { }
+    UsageTable(GatewayIncarnation self, Duration windowLength)
+        : m_self(std::move(self)), m_windowLength(windowLength)
+    { }
 
-    /// The window that a time of day lies in.
+    /// Returns the window that contains a time of day.
     WindowNumber windowAt(UnixMillis at) const;
-    /// When a window ends.
     UnixMillis windowEnd(WindowNumber window) const;
 
-    /// A call of an account began to run.
+    /// Counts a call of an account that started to run at \p at.
     void countCall(const AccountName &account, UnixMillis at);
 
-    /// Takes what is told of a life's counts.
-    void merge(const WindowUsage &told);
+    /// Merges the reported counts of another incarnation; those of this one are ignored.
+    void merge(const WindowUsage &usage);
 
-    /// This life's counts of a window; final once the window has settled by \p now.
+    /// Returns this incarnation's counts in a window; final if the window has settled by \p now.
     WindowUsage ownUsage(WindowNumber window, UnixMillis now) const;
 
-    /// The counts of lives that are not in \p live: nobody else will tell them.
+    /// Returns the counts of incarnations that are not in \p live, as no one else reports them.
     std::vector<WindowUsage> exitedUsage(const std::set<GatewayIncarnation> &live,
                                          WindowNumber window) const;
 
-    /// All lives' counts of a window, summed.
+    /// Returns the sum of the counts of all incarnations in a window.
     UsageCounts total(WindowNumber window) const;
 
-    /// True when this life's counts of a window are known to be final.
-    bool isFinal(const GatewayIncarnation &life, WindowNumber window) const;
+    /// True when the counts of an incarnation in a window are known to be final.
+    bool isFinal(const GatewayIncarnation &gateway, WindowNumber window) const;
 
-    /// Forgets windows before \p window.
+    /// Removes windows before \p window.
     void dropBefore(WindowNumber window);
 
     const GatewayIncarnation &self() const { return m_self; }
 
-    /// From a window's end until its counts are final: a call's first event may be under way, and
-    /// clocks differ a little.
+    /// Time from the end of a window until its counts are final: the first event of a call may
+    /// still be in flight, and clocks differ slightly.
     static constexpr Duration settleTime = milliseconds(300);
-    /// Windows that are remembered: a minute at windows of 5 s; a report is of use for less.
+    /// Windows that are kept: one minute of 5 s windows. A report is useful for less than that.
     static constexpr WindowNumber maxWindows = 12;
 
 private:
-    struct Kept
+    struct Entry
     {
         UsageCounts counts;
         bool isFinal = false;
     };
 
     GatewayIncarnation m_self;
-    Duration m_span;
-    std::map<WindowNumber, std::map<GatewayIncarnation, Kept>> m_windows;
+    Duration m_windowLength;
+    std::map<WindowNumber, std::map<GatewayIncarnation, Entry>> m_windows;
 };
 
 } // namespace reachlead
--- a/src/libreachlead/usagereporter.cpp
+++ b/src/libreachlead/usagereporter.cpp
@@ -9,16 +9,17 @@
 
 WindowNumber UsageReporter::nextWindow(WindowNumber due) const
 {
-    const WindowNumber after = m_known ? m_known->record.window + 1 : 0;
-    return std::max({after, m_skipped + 1, due - maxWindowsBehind});
+    const WindowNumber after = m_stored ? m_stored->record.window + 1 : 0;
+    return std::max({after, m_lastSkipped + 1, due - maxWindowsBehind});
 }
 
 void UsageReporter::skip(WindowNumber window)
 {
-    m_skipped = std::max(m_skipped, window);
+    m_lastSkipped = std::max(m_lastSkipped, window);
 }
 
-/// The holder has not reported for a while: what it fixed is sent again, then the rest.
+/// Takes the lease over once the holder has not renewed it for its whole duration. The stored
+/// counts are sent again before those of later windows.
 UsageAction UsageReporter::takeOver(const UsageView &view, UsageAction action) const
 {
     if (m_readAt + maxReadAge < view.now) {
@@ -36,25 +37,25 @@
 UsageAction UsageReporter::next(const UsageView &view) const
 {
     UsageAction action;
-    if (!m_isKnown) {
+    if (!m_isCurrent) {
         action.step = UsageStep::Read;
         return action;
     }
     const WindowNumber window = nextWindow(view.dueWindow);
     const bool isDue = window <= view.dueWindow;
-    if (m_known) {
-        action.record = m_known->record;
-        action.revision = m_known->revision;
+    if (m_stored) {
+        action.record = m_stored->record;
+        action.revision = m_stored->revision;
     }
     action.record.holder = m_self;
     ++action.record.renewals;
-    if (m_known && !isHolder())
+    if (m_stored && !isHolder())
         return isDue && view.hasCalls ? takeOver(view, std::move(action)) : action;
-    if (m_known && !m_isSent) {
+    if (m_stored && !m_isSent) {
         const bool maySend = m_writtenAt && view.now < *m_writtenAt + sendTimeout();
         action.step = maySend ? UsageStep::Send : UsageStep::Write;
         if (maySend) {
-            action.record = m_known->record;
+            action.record = m_stored->record;
             action.limit = *m_writtenAt + sendTimeout() - view.now;
         }
         return action;
@@ -66,7 +67,7 @@
         action.step = UsageStep::Skip;
         return action;
     }
-    action.isTakeover = !m_known;
+    action.isTakeover = !m_stored;
     action.record.token = std::max<FencingToken>(action.record.token, 1);
     action.record.counts = view.counts;
     action.step = UsageStep::Write;
@@ -75,30 +76,30 @@
 
 void UsageReporter::onRead(const std::optional<StoredUsage> &stored, Time now)
 {
-    const bool isSame = m_known && stored && m_known->revision == stored->revision;
-    m_isKnown = true;
+    const bool isSame = m_stored && stored && m_stored->revision == stored->revision;
+    m_isCurrent = true;
     m_readAt = now;
     if (isSame)
         return;
-    m_known = stored;
-    m_seenAt = now; // the holder began its write before: its lease ends no later than this one
+    m_stored = stored;
+    m_seenAt = now; // the holder's write started earlier: its lease ends no later than this one
     m_writtenAt.reset();
     m_isSent = false;
 }
 
-void UsageReporter::onWritten(const UsageRecord &record, std::uint64_t revision, Time began)
+void UsageReporter::onWritten(const UsageRecord &record, std::uint64_t revision, Time startedAt)
 {
-    m_known = {record, revision};
-    m_isKnown = true;
-    m_readAt = began;
-    m_seenAt = began;
-    m_writtenAt = began;
+    m_stored = {record, revision};
+    m_isCurrent = true;
+    m_readAt = startedAt;
+    m_seenAt = startedAt;
+    m_writtenAt = startedAt;
     m_isSent = false;
 }
 
 void UsageReporter::onSent(const UsageRecord &record)
 {
-    if (m_known && m_known->record == record)
+    if (m_stored && m_stored->record == record)
         m_isSent = true;
 }
 
--- a/src/libreachlead/usagereporter_test.cpp
+++ b/src/libreachlead/usagereporter_test.cpp
@@ -19,20 +19,21 @@
 namespace {
 
 constexpr Duration tick = seconds(1);
-constexpr Duration leaseSpan = tick * 2; ///< that the gateways keep
-
-/// What happens to a write or a report that is sent.
-enum class Fate : std::uint8_t {
-    Answered, ///< done, and the sender knows
-    Unanswered, ///< done, and the sender does not know
-    Late, ///< done later, if it still may be, and the sender does not know
-    Lost ///< never done, and the sender does not know
+constexpr Duration leaseTime = tick * 2; ///< that the gateways use
+
+/// What happens to a write or a report.
+enum class Delivery : std::uint8_t {
+    Answered, ///< done, and the sender gets the reply
+    Unanswered, ///< done, but the reply is lost
+    Late, ///< done later if still valid; the sender gets no reply
+    Lost ///< never done; the sender gets no reply
 };
-constexpr std::array<Fate, 4> fates{Fate::Answered, Fate::Unanswered, Fate::Late, Fate::Lost};
+constexpr std::array<Delivery, 4> deliveries{Delivery::Answered, Delivery::Unanswered,
+                                             Delivery::Late, Delivery::Lost};
 
-/// A store with one object, a platform that takes all reports, and gateways that each think that it
-/// is their turn. Time moves by ticks; how much may go wrong is bounded.
-struct World
+/// A model of a store with one object, a platform that accepts all reports, and gateways that all
+/// try to report. Time advances by ticks; the number of faults is bounded.
+struct Model
 {
     struct LateWrite
     {
@@ -44,46 +45,47 @@
     struct LateReport
     {
         UsageRecord record;
-        Time until; ///< the connection is reset by then
+        Time until; ///< when the connection is closed
 
         auto operator<=>(const LateReport &) const = default;
     };
-    struct Act
+    struct AcceptedReport
     {
         VmName holder;
         FencingToken token = 0;
         Time at;
 
-        auto operator<=>(const Act &) const = default;
+        auto operator<=>(const AcceptedReport &) const = default;
     };
 
     Time now{};
-    std::vector<UsageReporter> duties;
+    std::vector<UsageReporter> reporters;
     std::optional<UsageRecord> stored;
     std::uint64_t revision = 0;
     std::vector<LateWrite> lateWrites;
     std::vector<LateReport> lateReports;
-    std::map<WindowNumber, UsageCounts> taken;
-    std::vector<Act> acts; ///< the last of each holder, newest last
-    Duration leaseAsked{}; ///< in which holders may not act by turns
+    std::map<WindowNumber, UsageCounts> accepted;
+    std::vector<AcceptedReport> lastReports; ///< the last report of each holder, newest last
+    Duration requiredLease{}; ///< during which reports of two holders must not alternate
     int faultsLeft = 0;
-    bool isBroken = false;
+    bool isViolated = false;
 
-    auto operator<=>(const World &) const = default;
+    auto operator<=>(const Model &) const = default;
 
-    World(std::size_t gateways, Duration lease, int faults) : leaseAsked(lease), faultsLeft(faults)
+    Model(std::size_t gateways, Duration lease, int faults)
+        : requiredLease(lease), faultsLeft(faults)
     {
         for (std::uint64_t n = 0; n < gateways; ++n)
-            duties.emplace_back(lifeOf(n, 1), leaseSpan);
+            reporters.emplace_back(gatewayId(n, 1), leaseTime);
     }
 
-    static GatewayIncarnation lifeOf(std::uint64_t gateway, std::uint64_t incarnation)
+    static GatewayIncarnation gatewayId(std::uint64_t gateway, std::uint64_t incarnation)
     {
         return {VmName(std::string(1, static_cast<char>('a' + gateway))), Incarnation{incarnation}};
     }
 
-    /// Each gateway counts otherwise, and what it counts changes.
-    UsageView viewOf(std::size_t gateway) const
+    /// Each gateway has different counts, which change over time.
+    UsageView viewAt(std::size_t gateway) const
     {
         const auto ticks = static_cast<std::uint32_t>((now.time_since_epoch()) / tick);
         UsageView view;
@@ -98,8 +100,8 @@
 
     bool write(const UsageRecord &record, const std::optional<std::uint64_t> &over)
     {
-        const bool fits = over ? stored && *over == revision : !stored;
-        if (!fits)
+        const bool matches = over ? stored && *over == revision : !stored;
+        if (!matches)
             return false;
         stored = record;
         ++revision;
@@ -108,163 +110,167 @@
 
     void report(const UsageRecord &record)
     {
-        const auto [it, isFirst] = taken.emplace(record.window, record.counts);
+        const auto [it, isFirst] = accepted.emplace(record.window, record.counts);
         if (!isFirst && it->second != record.counts)
-            isBroken = true; // two reports of one window that differ
-        for (const Act &act : acts) {
-            if (act.token > record.token)
-                isBroken = true; // a lower token than one that was seen
-            if (act.token == record.token && act.holder != record.holder.vm)
-                isBroken = true; // two holders with one token
+            isViolated = true; // two different reports of one window
+        for (const AcceptedReport &last : lastReports) {
+            if (last.token > record.token)
+                isViolated = true; // a lower token than an earlier report
+            if (last.token == record.token && last.holder != record.holder.vm)
+                isViolated = true; // two holders with one token
         }
         std::optional<Time> ownBefore;
-        for (const Act &act : acts) {
-            if (act.holder == record.holder.vm)
-                ownBefore = act.at;
-            else if (ownBefore && now < *ownBefore + leaseAsked)
-                isBroken = true; // holders by turns within a lease
+        for (const AcceptedReport &last : lastReports) {
+            if (last.holder == record.holder.vm)
+                ownBefore = last.at;
+            else if (ownBefore && now < *ownBefore + requiredLease)
+                isViolated = true; // alternating holders within a lease
         }
-        std::erase_if(acts, [&](const Act &act) { return act.holder == record.holder.vm; });
-        acts.push_back({record.holder.vm, record.token, now});
+        std::erase_if(lastReports,
+                      [&](const AcceptedReport &last) { return last.holder == record.holder.vm; });
+        lastReports.push_back({record.holder.vm, record.token, now});
     }
 
-    /// The ways in which one gateway's next step can go.
-    void steps(std::size_t gateway, const std::function<void(World)> &take) const
+    /// All possible results of one gateway's next step.
+    void forEachResult(std::size_t gateway, const std::function<void(Model)> &take) const
     {
-        const UsageAction action = duties[gateway].next(viewOf(gateway));
+        const UsageAction action = reporters[gateway].next(viewAt(gateway));
         if (action.step == UsageStep::Read) {
-            World next = *this;
+            Model next = *this;
             std::optional<StoredUsage> read;
             if (stored)
                 read = StoredUsage{*stored, revision};
-            next.duties[gateway].onRead(read, now);
+            next.reporters[gateway].onRead(read, now);
             take(std::move(next));
         }
-        for (const Fate fate : fates) {
-            if (fate != Fate::Answered && faultsLeft == 0)
+        for (const Delivery delivery : deliveries) {
+            if (delivery != Delivery::Answered && faultsLeft == 0)
                 continue;
             if (action.step == UsageStep::Write)
-                take(written(gateway, action, fate));
+                take(afterWrite(gateway, action, delivery));
             if (action.step == UsageStep::Send)
-                take(reported(gateway, action, fate));
+                take(afterReport(gateway, action, delivery));
         }
     }
 
-    World written(std::size_t gateway, const UsageAction &action, Fate fate) const
+    Model afterWrite(std::size_t gateway, const UsageAction &action, Delivery delivery) const
     {
-        World next = *this;
-        UsageReporter &duty = next.duties[gateway];
-        if (fate != Fate::Answered)
+        Model next = *this;
+        UsageReporter &reporter = next.reporters[gateway];
+        if (delivery != Delivery::Answered)
             --next.faultsLeft;
-        const bool isNow = fate == Fate::Answered || fate == Fate::Unanswered;
+        const bool isNow = delivery == Delivery::Answered || delivery == Delivery::Unanswered;
         const bool isDone = isNow && next.write(action.record, action.revision);
-        if (fate == Fate::Late)
+        if (delivery == Delivery::Late)
             next.lateWrites.push_back({action.record, action.revision});
-        if (isDone && fate == Fate::Answered)
-            duty.onWritten(action.record, next.revision, now);
+        if (isDone && delivery == Delivery::Answered)
+            reporter.onWritten(action.record, next.revision, now);
         else
-            duty.invalidate();
+            reporter.invalidate();
         return next;
     }
 
-    World reported(std::size_t gateway, const UsageAction &action, Fate fate) const
+    Model afterReport(std::size_t gateway, const UsageAction &action, Delivery delivery) const
     {
-        World next = *this;
-        if (fate != Fate::Answered)
+        Model next = *this;
+        if (delivery != Delivery::Answered)
             --next.faultsLeft;
-        if (fate == Fate::Answered || fate == Fate::Unanswered)
+        if (delivery == Delivery::Answered || delivery == Delivery::Unanswered)
             next.report(action.record);
-        if (fate == Fate::Late)
+        if (delivery == Delivery::Late)
             next.lateReports.push_back({action.record, now + action.limit});
-        if (fate == Fate::Answered)
-            next.duties[gateway].onSent(action.record);
+        if (delivery == Delivery::Answered)
+            next.reporters[gateway].onSent(action.record);
         return next;
     }
 
-    /// All that may happen next.
-    void successors(const std::function<void(World)> &take) const
+    /// All states that can follow this one.
+    void successors(const std::function<void(Model)> &take) const
     {
-        for (std::size_t n = 0; n < duties.size(); ++n)
-            steps(n, take);
+        for (std::size_t n = 0; n < reporters.size(); ++n)
+            forEachResult(n, take);
         for (std::size_t n = 0; n < lateWrites.size(); ++n) {
-            World next = *this;
+            Model next = *this;
             next.lateWrites.erase(next.lateWrites.begin() + static_cast<std::ptrdiff_t>(n));
             next.write(lateWrites[n].record, lateWrites[n].revision);
             take(std::move(next));
         }
         for (std::size_t n = 0; n < lateReports.size(); ++n) {
-            World next = *this;
+            Model next = *this;
             next.lateReports.erase(next.lateReports.begin() + static_cast<std::ptrdiff_t>(n));
             if (now < lateReports[n].until)
                 next.report(lateReports[n].record);
             take(std::move(next));
         }
         if (faultsLeft > 0) {
-            for (std::uint64_t n = 0; n < duties.size(); ++n) {
-                World next = *this;
+            for (std::uint64_t n = 0; n < reporters.size(); ++n) {
+                Model next = *this;
                 --next.faultsLeft;
-                next.duties[n] =
-                    UsageReporter(lifeOf(n, 2 + static_cast<std::uint64_t>(faultsLeft)), leaseSpan);
+                next.reporters[n] = UsageReporter(
+                    gatewayId(n, 2 + static_cast<std::uint64_t>(faultsLeft)), leaseTime);
                 take(std::move(next));
             }
         }
-        World later = *this;
+        Model later = *this;
         later.now += tick;
         take(std::move(later));
     }
 };
 
-/// What a search over all orders of events found.
-struct Found
+/// Result of a search over all orders of events.
+struct SearchResult
 {
     std::size_t states = 0;
-    bool isBroken = false;
-    WindowNumber lastTaken = 0; ///< the last window of which a report was taken
+    bool isViolated = false;
+    WindowNumber lastAccepted = 0; ///< the last window with an accepted report
 };
 
-/// Goes through every state that can be reached by \p horizon with so many faults.
-Found explore(std::size_t gateways, Duration lease, int faults, Time horizon)
+/// Visits every state that can be reached by \p horizon with at most \p faults faults.
+SearchResult explore(std::size_t gateways, Duration lease, int faults, Time horizon)
 {
-    Found found;
-    std::set<World> seen;
-    std::deque<World> open{World(gateways, lease, faults)};
-    while (!open.empty()) {
-        const World world = std::move(open.front());
-        open.pop_front();
-        found.isBroken = found.isBroken || world.isBroken;
-        if (!world.taken.empty())
-            found.lastTaken = std::max(found.lastTaken, world.taken.rbegin()->first);
-        if (found.isBroken)
+    SearchResult result;
+    std::set<Model> seen;
+    std::deque<Model> frontier{Model(gateways, lease, faults)};
+    while (!frontier.empty()) {
+        const Model model = std::move(frontier.front());
+        frontier.pop_front();
+        result.isViolated = result.isViolated || model.isViolated;
+        if (!model.accepted.empty())
+            result.lastAccepted = std::max(result.lastAccepted, model.accepted.rbegin()->first);
+        if (result.isViolated)
             break;
-        world.successors([&](World next) {
+        model.successors([&](Model next) {
             if (next.now <= horizon && seen.insert(next).second)
-                open.push_back(std::move(next));
+                frontier.push_back(std::move(next));
         });
     }
-    found.states = seen.size();
-    return found;
+    result.states = seen.size();
+    return result;
 }
 
 } // namespace
 
-/// Who may report usage when.
+/// Tests which gateway may report usage when.
 class UsageReporterTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UsageReporterTest);
-    CPPUNIT_TEST(holderFixesBeforeItSends);
-    CPPUNIT_TEST(writeWithoutAnswerIsReadBack);
-    CPPUNIT_TEST(successorSendsWhatWasFixed);
+    CPPUNIT_TEST(holderStoresCountsBeforeItSends);
+    CPPUNIT_TEST(writeWithoutReplyIsReadBack);
+    CPPUNIT_TEST(successorSendsStoredCounts);
     CPPUNIT_TEST(holderThatWasPausedDoesNotSend);
-    CPPUNIT_TEST(emptyWindowsArePassedOver);
+    CPPUNIT_TEST(emptyWindowsAreSkipped);
     CPPUNIT_TEST(standbyThatKnowsOfNoCallsSkipsNothing);
-    CPPUNIT_TEST(oldWindowsAreNotMadeUpFor);
-    CPPUNIT_TEST(noOrderOfEventsBreaksThePromise);
-    CPPUNIT_TEST(shorterLeaseIsFoundOut);
+    CPPUNIT_TEST(oldWindowsAreNotReported);
+    CPPUNIT_TEST(noOrderOfEventsBreaksTheInvariant);
+    CPPUNIT_TEST(shorterLeaseIsDetected);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
 
-    static GatewayIncarnation life(const std::string &vm) { return {VmName(vm), Incarnation{1}}; }
+    static GatewayIncarnation gatewayId(const std::string &vm)
+    {
+        return {VmName(vm), Incarnation{1}};
+    }
 
     static UsageView view(Time now, WindowNumber due, std::uint32_t calls)
     {
@@ -278,54 +284,54 @@
         return made;
     }
 
-    /// A duty that has written window 1 with 5 calls at `start`, as the first holder.
+    /// A reporter that has written window 1 with 5 calls at `start`, as the first holder.
     static UsageReporter holder()
     {
-        UsageReporter duty(life("a"), seconds(3));
-        duty.onRead(std::nullopt, start);
-        const UsageAction action = duty.next(view(start, 1, 5));
-        duty.onWritten(action.record, 11, start);
-        return duty;
+        UsageReporter reporter(gatewayId("a"), seconds(3));
+        reporter.onRead(std::nullopt, start);
+        const UsageAction action = reporter.next(view(start, 1, 5));
+        reporter.onWritten(action.record, 11, start);
+        return reporter;
     }
 
-    void holderFixesBeforeItSends()
+    void holderStoresCountsBeforeItSends()
     {
-        UsageReporter duty(life("a"), seconds(3));
-        CPPUNIT_ASSERT(duty.next(view(start, 1, 5)).step == UsageStep::Read);
-        duty.onRead(std::nullopt, start);
-        const UsageAction fix = duty.next(view(start, 1, 5));
-        CPPUNIT_ASSERT(fix.step == UsageStep::Write);
-        CPPUNIT_ASSERT(!fix.revision);
-        duty.onWritten(fix.record, 11, start);
-        const UsageAction send = duty.next(view(start, 1, 9));
+        UsageReporter reporter(gatewayId("a"), seconds(3));
+        CPPUNIT_ASSERT(reporter.next(view(start, 1, 5)).step == UsageStep::Read);
+        reporter.onRead(std::nullopt, start);
+        const UsageAction write = reporter.next(view(start, 1, 5));
+        CPPUNIT_ASSERT(write.step == UsageStep::Write);
+        CPPUNIT_ASSERT(!write.revision);
+        reporter.onWritten(write.record, 11, start);
+        const UsageAction send = reporter.next(view(start, 1, 9));
         CPPUNIT_ASSERT(send.step == UsageStep::Send);
         CPPUNIT_ASSERT_EQUAL(5U, send.record.counts.at(AccountName("t")));
-        CPPUNIT_ASSERT(send.limit == duty.sendTimeout());
-        duty.onSent(send.record);
-        CPPUNIT_ASSERT(duty.next(view(start, 1, 9)).step == UsageStep::Idle);
-        const UsageAction second = duty.next(view(start + seconds(5), 2, 7));
+        CPPUNIT_ASSERT(send.limit == reporter.sendTimeout());
+        reporter.onSent(send.record);
+        CPPUNIT_ASSERT(reporter.next(view(start, 1, 9)).step == UsageStep::Idle);
+        const UsageAction second = reporter.next(view(start + seconds(5), 2, 7));
         CPPUNIT_ASSERT(second.step == UsageStep::Write);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, *second.revision);
         CPPUNIT_ASSERT_EQUAL(FencingToken{1}, second.record.token);
     }
 
-    void writeWithoutAnswerIsReadBack()
+    void writeWithoutReplyIsReadBack()
     {
-        UsageReporter duty(life("a"), seconds(3));
-        duty.onRead(std::nullopt, start);
-        const UsageAction fix = duty.next(view(start, 1, 5));
-        duty.invalidate();
-        CPPUNIT_ASSERT(duty.next(view(start, 1, 6)).step == UsageStep::Read);
-        duty.onRead(StoredUsage{fix.record, 11}, start + seconds(1));
-        const UsageAction renew = duty.next(view(start + seconds(1), 1, 6));
+        UsageReporter reporter(gatewayId("a"), seconds(3));
+        reporter.onRead(std::nullopt, start);
+        const UsageAction write = reporter.next(view(start, 1, 5));
+        reporter.invalidate();
+        CPPUNIT_ASSERT(reporter.next(view(start, 1, 6)).step == UsageStep::Read);
+        reporter.onRead(StoredUsage{write.record, 11}, start + seconds(1));
+        const UsageAction renew = reporter.next(view(start + seconds(1), 1, 6));
         CPPUNIT_ASSERT(renew.step == UsageStep::Write);
-        CPPUNIT_ASSERT(renew.record.counts == fix.record.counts);
+        CPPUNIT_ASSERT(renew.record.counts == write.record.counts);
     }
 
-    void successorSendsWhatWasFixed()
+    void successorSendsStoredCounts()
     {
         const UsageReporter first = holder();
-        UsageReporter next(life("b"), seconds(3));
+        UsageReporter next(gatewayId("b"), seconds(3));
         next.onRead(first.lastKnown(), start + seconds(1));
         CPPUNIT_ASSERT(next.next(view(start + seconds(2), 2, 8)).step == UsageStep::Read);
         next.onRead(first.lastKnown(), start + seconds(4));
@@ -345,61 +351,61 @@
 
     void holderThatWasPausedDoesNotSend()
     {
-        const UsageReporter duty = holder();
-        const Time late = start + duty.sendTimeout();
-        CPPUNIT_ASSERT(duty.next(view(late, 1, 5)).step == UsageStep::Write);
+        const UsageReporter reporter = holder();
+        const Time late = start + reporter.sendTimeout();
+        CPPUNIT_ASSERT(reporter.next(view(late, 1, 5)).step == UsageStep::Write);
     }
 
-    void emptyWindowsArePassedOver()
+    void emptyWindowsAreSkipped()
     {
-        UsageReporter duty(life("a"), seconds(3));
-        duty.onRead(std::nullopt, start);
+        UsageReporter reporter(gatewayId("a"), seconds(3));
+        reporter.onRead(std::nullopt, start);
         UsageView early = view(start, 1, 0);
         early.isComplete = false;
-        CPPUNIT_ASSERT(duty.next(early).step == UsageStep::Idle);
-        const UsageAction action = duty.next(view(start, 1, 0));
+        CPPUNIT_ASSERT(reporter.next(early).step == UsageStep::Idle);
+        const UsageAction action = reporter.next(view(start, 1, 0));
         CPPUNIT_ASSERT(action.step == UsageStep::Skip);
-        duty.skip(action.record.window);
-        CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, duty.nextWindow(2));
+        reporter.skip(action.record.window);
+        CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, reporter.nextWindow(2));
     }
 
-    /// It would leave out the window when it takes over.
+    /// A standby that skipped such a window would leave it out after taking over.
     void standbyThatKnowsOfNoCallsSkipsNothing()
     {
-        UsageReporter next(life("b"), seconds(3));
+        UsageReporter next(gatewayId("b"), seconds(3));
         next.onRead(holder().lastKnown(), start);
         CPPUNIT_ASSERT(next.next(view(start + seconds(4), 2, 0)).step == UsageStep::Idle);
         CPPUNIT_ASSERT_EQUAL(WindowNumber{2}, next.nextWindow(2));
         UsageView later = view(start + seconds(4), 3, 0);
-        later.hasCalls = true; // of a window behind an empty one
+        later.hasCalls = true; // in a window after an empty one
         CPPUNIT_ASSERT(next.next(later).step == UsageStep::Read);
     }
 
-    void oldWindowsAreNotMadeUpFor()
+    void oldWindowsAreNotReported()
     {
-        const UsageReporter duty = holder();
+        const UsageReporter reporter = holder();
         CPPUNIT_ASSERT_EQUAL(WindowNumber{100 - UsageReporter::maxWindowsBehind},
-                             duty.nextWindow(100));
+                             reporter.nextWindow(100));
     }
 
-    /// Three gateways that all think that it is their turn; each write and report answered, not
-    /// answered, late or lost, each process restarted, at every step.
-    void noOrderOfEventsBreaksThePromise()
+    /// Three gateways all try to report. At every step, a write or a report can be answered, not
+    /// answered, late or lost, and a process can restart.
+    void noOrderOfEventsBreaksTheInvariant()
     {
-        const Found calm = explore(3, leaseSpan, 0, Time(tick * 3));
-        CPPUNIT_ASSERT(!calm.isBroken);
-        CPPUNIT_ASSERT(calm.lastTaken >= 2);
-        CPPUNIT_ASSERT(calm.states > 10'000);
-        const Found once = explore(3, leaseSpan, 1, Time(tick * 2));
-        CPPUNIT_ASSERT(!once.isBroken);
-        CPPUNIT_ASSERT(once.states > 10'000);
-        CPPUNIT_ASSERT(!explore(3, leaseSpan, 2, Time(tick)).isBroken);
+        const SearchResult noFaults = explore(3, leaseTime, 0, Time(tick * 3));
+        CPPUNIT_ASSERT(!noFaults.isViolated);
+        CPPUNIT_ASSERT(noFaults.lastAccepted >= 2);
+        CPPUNIT_ASSERT(noFaults.states > 10'000);
+        const SearchResult oneFault = explore(3, leaseTime, 1, Time(tick * 2));
+        CPPUNIT_ASSERT(!oneFault.isViolated);
+        CPPUNIT_ASSERT(oneFault.states > 10'000);
+        CPPUNIT_ASSERT(!explore(3, leaseTime, 2, Time(tick)).isViolated);
     }
 
-    /// The search finds what gateways do that keep a shorter lease than the platform asks for.
-    void shorterLeaseIsFoundOut()
+    /// The search must find the violation when gateways use a shorter lease than required.
+    void shorterLeaseIsDetected()
     {
-        CPPUNIT_ASSERT(explore(2, leaseSpan * 3, 0, Time(tick * 4)).isBroken);
+        CPPUNIT_ASSERT(explore(2, leaseTime * 3, 0, Time(tick * 4)).isViolated);
     }
 };
 
--- a/src/libreachlead/usagetable.cpp
+++ b/src/libreachlead/usagetable.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::int64_t millisOf(Duration d)
+std::int64_t wholeMillis(Duration d)
 {
     return std::chrono::duration_cast<milliseconds>(d).count();
 }
@@ -20,12 +20,12 @@
 
 WindowNumber UsageTable::windowAt(UnixMillis at) const
 {
-    return at / millisOf(m_span);
+    return at / wholeMillis(m_windowLength);
 }
 
 UnixMillis UsageTable::windowEnd(WindowNumber window) const
 {
-    return (window + 1) * millisOf(m_span);
+    return (window + 1) * wholeMillis(m_windowLength);
 }
 
 void UsageTable::countCall(const AccountName &account, UnixMillis at)
@@ -33,40 +33,40 @@
     ++m_windows[windowAt(at)][m_self].counts[account];
 }
 
-void UsageTable::merge(const WindowUsage &told)
+void UsageTable::merge(const WindowUsage &usage)
 {
-    if (told.gateway == m_self)
+    if (usage.gateway == m_self)
         return;
-    Kept &known = m_windows[told.window][told.gateway];
-    known.isFinal = known.isFinal || told.isFinal;
-    for (const auto &[account, n] : told.counts) {
-        std::uint32_t &count = known.counts[account];
+    Entry &entry = m_windows[usage.window][usage.gateway];
+    entry.isFinal = entry.isFinal || usage.isFinal;
+    for (const auto &[account, n] : usage.counts) {
+        std::uint32_t &count = entry.counts[account];
         count = std::max(count, n);
     }
 }
 
 WindowUsage UsageTable::ownUsage(WindowNumber window, UnixMillis now) const
 {
-    WindowUsage told{m_self, window, windowEnd(window) + millisOf(settleTime) <= now, {}};
+    WindowUsage usage{m_self, window, windowEnd(window) + wholeMillis(settleTime) <= now, {}};
     if (const auto it = m_windows.find(window); it != m_windows.end()) {
         if (const auto own = it->second.find(m_self); own != it->second.end())
-            told.counts = own->second.counts;
+            usage.counts = own->second.counts;
     }
-    return told;
+    return usage;
 }
 
 std::vector<WindowUsage> UsageTable::exitedUsage(const std::set<GatewayIncarnation> &live,
                                                  WindowNumber window) const
 {
-    std::vector<WindowUsage> ended;
+    std::vector<WindowUsage> exited;
     const auto it = m_windows.find(window);
     if (it == m_windows.end())
-        return ended;
-    for (const auto &[life, kept] : it->second) {
-        if (life != m_self && !live.contains(life))
-            ended.push_back({life, window, kept.isFinal, kept.counts});
+        return exited;
+    for (const auto &[gateway, entry] : it->second) {
+        if (gateway != m_self && !live.contains(gateway))
+            exited.push_back({gateway, window, entry.isFinal, entry.counts});
     }
-    return ended;
+    return exited;
 }
 
 UsageCounts UsageTable::total(WindowNumber window) const
@@ -75,20 +75,20 @@
     const auto it = m_windows.find(window);
     if (it == m_windows.end())
         return sum;
-    for (const Kept &kept : it->second | std::views::values) {
-        for (const auto &[account, n] : kept.counts)
+    for (const Entry &entry : it->second | std::views::values) {
+        for (const auto &[account, n] : entry.counts)
             sum[account] += n;
     }
     return sum;
 }
 
-bool UsageTable::isFinal(const GatewayIncarnation &life, WindowNumber window) const
+bool UsageTable::isFinal(const GatewayIncarnation &gateway, WindowNumber window) const
 {
     const auto it = m_windows.find(window);
     if (it == m_windows.end())
         return false;
-    const auto kept = it->second.find(life);
-    return kept != it->second.end() && kept->second.isFinal;
+    const auto entry = it->second.find(gateway);
+    return entry != it->second.end() && entry->second.isFinal;
 }
 
 void UsageTable::dropBefore(WindowNumber window)
