--- a/src/libreachlead/apikey.cpp
+++ b/src/libreachlead/apikey.cpp
@@ -50,7 +50,7 @@
 
 const AccountPolicy *findAccountByKey(const Policies &policies, std::string_view key)
 {
-    // Compared when the account has no key, so that the time taken is the matches.
+    // Compared when the account has no key, so that the check takes the same time.
     static const std::string dummyHash(sha256Bytes * 2, '0');
     const auto colon = key.find(':');
     const bool hasColon = colon != std::string_view::npos;
