--- a/src/libreachlead/usagereporter.cpp
+++ b/src/libreachlead/usagereporter.cpp
@@ -82,7 +82,8 @@
     if (isSame)
         return;
     m_stored = stored;
-    m_seenAt = now; // the holder's write started earlier: its lease ends no later than this one
+    // The holder started its write earlier, so its lease ends no later than one that starts now.
+    m_seenAt = now;
     m_writtenAt.reset();
     m_isSent = false;
 }
