--- a/src/include/reachlead/accountlimiter.h
+++ b/src/include/reachlead/accountlimiter.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The limits of client accounts, inherited down the tree: a request counts against its account
-/// and every ancestor.
+/// Limits of client accounts. Accounts form a tree: a request counts against its account and all of
+/// its ancestors.
 
 #pragma once
 
@@ -14,10 +14,11 @@
 
 namespace reachlead {
 
-/// Counts requests and tokens of accounts on one router. Not thread-safe.
+/// Tracks the requests in progress and the token use of client accounts on one router. Not
+/// thread-safe.
 ///
-/// Routers share a limit by parts: each enforces its part alone, so that the sum over routers
-/// never passes the limit even when they cannot hear each other.
+/// Each router enforces its share of every limit independently, so that the sum over all routers
+/// stays within the limit even while the routers cannot reach each other.
 class AccountLimiter
 {
 public:
@@ -25,38 +26,40 @@
 
     void setPolicies(PoliciesPtr policies) { m_policies = std::move(policies); }
 
-    /// Sets this router's part of every limit, 0 … 1.
-    void setLimitShare(double part) { m_part = part; }
-    double limitShare() const { return m_part; }
+    /// Sets this router's share of every limit, 0 … 1.
+    void setLimitShare(double part) { m_limitShare = part; }
+    double limitShare() const { return m_limitShare; }
 
-    /// Takes a place for one request; an error kind when a limit stands against it.
+    /// Counts one request against the account and its ancestors. Returns ErrorKind::None, or the
+    /// kind of the first limit that does not allow the request; nothing is counted then.
     ErrorKind acquire(const AccountName &account, Time now);
 
-    /// Gives the place back. Each successful acquire() is released once.
+    /// Undoes one successful acquire(); to be called exactly once for each.
     void release(const AccountName &account);
 
-    /// Charges tokens made for the account. The account may fall into debt, which delays later
-    /// requests; no running answer is cut.
+    /// Charges generated tokens to the account and its ancestors. A token bucket may become
+    /// negative, which delays later requests; answers in progress are not truncated.
     void chargeTokens(const AccountName &account, double tokens, Time now);
 
-    /// Requests of the account and its descendants in progress.
+    /// Number of requests in progress of the account and its descendants.
     std::int64_t inProgress(const AccountName &account) const;
 
 private:
     struct Usage
     {
         std::int64_t inProgress = 0;
-        double tokens = 0; ///< left in the bucket; negative: debt
-        Time filledAt{};
-        bool filled = false;
+        double tokens = 0; ///< tokens left in the bucket; negative while the account is in debt
+        Time refilledAt{};
+        bool initialized = false;
     };
 
-    template <class Visit> void forLine(const AccountName &account, Visit visit) const;
+    template <class Visit>
+    void forAccountAndAncestors(const AccountName &account, Visit visit) const;
     ErrorKind check(const AccountPolicy &policy, Time now);
     void refill(Usage &usage, double rate, Time now) const;
 
     PoliciesPtr m_policies;
-    double m_part = 1.0;
+    double m_limitShare = 1.0;
     std::unordered_map<AccountName, Usage> m_usage;
 };
 
--- a/src/libreachlead/accountlimiter.cpp
+++ b/src/libreachlead/accountlimiter.cpp
@@ -10,19 +10,21 @@
 
 namespace {
 
-/// The token bucket holds this much of its rate.
+/// Capacity of a token bucket, in seconds of its refill rate.
 constexpr double bucketSeconds = 2.0;
 
-/// Trees deeper than this are refused at validation; the walk stops here in any case.
-constexpr int deepestTree = 16;
+/// Upper bound on the ancestors visited. The validation of settings rejects deeper trees; the bound
+/// also ends the loop if one gets through.
+constexpr int maxTreeDepth = 16;
 
 } // namespace
 
-/// Calls \p visit for the account and each ancestor; stops when it returns false.
-template <class Visit> void AccountLimiter::forLine(const AccountName &account, Visit visit) const
+/// Calls \p visit for the account and then for each ancestor, until it returns false.
+template <class Visit>
+void AccountLimiter::forAccountAndAncestors(const AccountName &account, Visit visit) const
 {
     const AccountPolicy *policy = m_policies->findAccount(account);
-    for (int depth = 0; policy && depth < deepestTree; ++depth) {
+    for (int depth = 0; policy && depth < maxTreeDepth; ++depth) {
         if (!visit(*policy))
             return;
         policy = policy->parent.empty() ? nullptr : m_policies->findAccount(policy->parent);
@@ -31,28 +33,29 @@
 
 void AccountLimiter::refill(Usage &usage, double rate, Time now) const
 {
-    const double room = rate * bucketSeconds;
-    if (!usage.filled)
-        usage.tokens = room;
+    const double capacity = rate * bucketSeconds;
+    if (!usage.initialized)
+        usage.tokens = capacity;
     else
-        usage.tokens = std::min(room, usage.tokens + rate * toSeconds(now - usage.filledAt));
-    usage.filled = true;
-    usage.filledAt = now;
+        usage.tokens = std::min(capacity, usage.tokens + rate * toSeconds(now - usage.refilledAt));
+    usage.initialized = true;
+    usage.refilledAt = now;
 }
 
 ErrorKind AccountLimiter::check(const AccountPolicy &policy, Time now)
 {
     Usage &usage = m_usage[policy.name];
     if (policy.limits.concurrency) {
-        // Rounded down so that the parts never sum to more than the limit. At least one request
-        // is let through when the part is below one: a limit under the number of routers is
-        // enforced as one for each router, which docs/OPERATIONS.md tells operators.
-        const double part = std::floor(static_cast<double>(*policy.limits.concurrency) * m_part);
-        if (static_cast<double>(usage.inProgress) >= std::max(1.0, part))
+        // Rounded down so that the shares never add up to more than the limit. Each router admits
+        // at least one request, so a limit below the number of routers is enforced as one request
+        // on each router; docs/OPERATIONS.md documents this for operators.
+        const double allowed =
+            std::floor(static_cast<double>(*policy.limits.concurrency) * m_limitShare);
+        if (static_cast<double>(usage.inProgress) >= std::max(1.0, allowed))
             return ErrorKind::AccountConcurrency;
     }
     if (policy.limits.tokensPerSecond) {
-        refill(usage, *policy.limits.tokensPerSecond * m_part, now);
+        refill(usage, *policy.limits.tokensPerSecond * m_limitShare, now);
         if (usage.tokens <= 0)
             return ErrorKind::AccountRate;
     }
@@ -62,13 +65,13 @@
 ErrorKind AccountLimiter::acquire(const AccountName &account, Time now)
 {
     ErrorKind kind = ErrorKind::None;
-    forLine(account, [&](const AccountPolicy &policy) {
+    forAccountAndAncestors(account, [&](const AccountPolicy &policy) {
         kind = check(policy, now);
         return kind == ErrorKind::None;
     });
     if (kind != ErrorKind::None)
         return kind;
-    forLine(account, [&](const AccountPolicy &policy) {
+    forAccountAndAncestors(account, [&](const AccountPolicy &policy) {
         ++m_usage[policy.name].inProgress;
         return true;
     });
@@ -77,7 +80,7 @@
 
 void AccountLimiter::release(const AccountName &account)
 {
-    forLine(account, [&](const AccountPolicy &policy) {
+    forAccountAndAncestors(account, [&](const AccountPolicy &policy) {
         Usage &usage = m_usage[policy.name];
         usage.inProgress = std::max<std::int64_t>(0, usage.inProgress - 1);
         return true;
@@ -86,10 +89,10 @@
 
 void AccountLimiter::chargeTokens(const AccountName &account, double tokens, Time now)
 {
-    forLine(account, [&](const AccountPolicy &policy) {
+    forAccountAndAncestors(account, [&](const AccountPolicy &policy) {
         if (policy.limits.tokensPerSecond) {
             Usage &usage = m_usage[policy.name];
-            refill(usage, *policy.limits.tokensPerSecond * m_part, now);
+            refill(usage, *policy.limits.tokensPerSecond * m_limitShare, now);
             usage.tokens -= tokens;
         }
         return true;
