--- a/src/include/reachlead/admission.h
+++ b/src/include/reachlead/admission.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How many requests an engine runs at once, steered by the time between tokens it shows.
+/// Admission window: limits the requests that an engine runs at once, controlled by the measured
+/// time between tokens.
 
 #pragma once
 
@@ -15,9 +16,10 @@
 
 /// The admission window of one upstream. Not thread-safe.
 ///
-/// Engines batch continuously: throughput grows with the batch until the time between tokens
-/// breaks the promise. The window grows while the measured time stays under the tightest target of
-/// those running, by the more the farther it is from it, and shrinks by a part when it passes.
+/// Engines use continuous batching: throughput grows with the batch until the time between tokens
+/// exceeds its target. While the measured time stays below the tightest target of the running
+/// requests the window grows, in larger steps the further below the target it is; when it exceeds
+/// the target the window shrinks by a fixed factor.
 class AdmissionWindow
 {
 public:
@@ -30,30 +32,34 @@
 
     explicit AdmissionWindow(Bounds bounds) : m_bounds(bounds), m_size(bounds.initialSize) { }
 
-    /// Learns the time between two tokens of one answer.
+    /// Records the time between two tokens of one answer.
     void observe(Duration gap, Time now);
 
-    /// Looks at what was learned and moves the window. \p tightest is the smallest target among
-    /// the running requests, none when no request has one.
+    /// Adjusts the window by the gaps recorded since the last adjustment. \p tightest is the
+    /// smallest inter-token target of the running requests; none when no request has one.
     void adjust(Time now, std::uint32_t running, std::optional<Duration> tightest);
 
     std::uint32_t size() const { return m_size; }
 
-    /// The time between tokens, as last looked at; zero before the first look.
-    Duration tokenGap() const { return fromSeconds(m_gapSeconds); }
+    /// Mean time between tokens at the last adjustment; zero before the first.
+    Duration tokenGap() const { return fromSeconds(m_meanGapSeconds); }
 
-    static constexpr Duration adjustInterval = milliseconds(200); ///< between two moves
-    static constexpr double growThreshold = 0.92; ///< part of the target under which it grows
-    static constexpr double shrinkThreshold = 1.0; ///< part of the target over which it shrinks
-    static constexpr double shrinkFactor = 0.85; ///< part of the size that is kept
+    static constexpr Duration adjustInterval =
+        milliseconds(200); ///< minimum time between adjustments
+    /// Fraction of the target below which the window grows.
+    static constexpr double growThreshold = 0.92;
+    /// Fraction of the target above which the window shrinks.
+    static constexpr double shrinkThreshold = 1.0;
+    /// Fraction of the size that is kept when the window shrinks.
+    static constexpr double shrinkFactor = 0.85;
 
 private:
     Bounds m_bounds;
     std::uint32_t m_size;
-    double m_gapSeconds = 0; ///< mean over the last interval that was looked at
-    double m_sumSeconds = 0; ///< of the gaps seen since the last move settled
-    std::uint64_t m_seen = 0;
-    Time m_movedAt{};
+    double m_meanGapSeconds = 0; ///< at the last adjustment
+    double m_gapSumSeconds = 0; ///< over the gaps that began after the last adjustment
+    std::uint64_t m_gapCount = 0;
+    Time m_adjustedAt{};
 };
 
 } // namespace reachlead
