--- a/src/include/reachlead/latency.h
+++ b/src/include/reachlead/latency.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Histograms of times, for the metrics page.
+/// Latency histograms for the metrics endpoint.
 
 #pragma once
 
@@ -17,16 +17,16 @@
 
 namespace reachlead {
 
-/// What is timed.
+/// The durations that are measured.
 enum class LatencyKind : std::uint8_t {
-    FirstByte, ///< from a whole request to the first byte of its answer
-    Whole, ///< from a whole request to the end of its answer
+    FirstByte, ///< from the complete request to the first byte of its answer
+    Whole, ///< from the complete request to the end of its answer
     Connect, ///< opening a connection to an upstream
     Size
 };
 
-/// One histogram for each timed thing, on a logarithmic axis from 1 ms to 100 s. Not thread-safe:
-/// the traffic thread writes, and makes the page.
+/// One histogram for each kind of latency, with logarithmic bins from 1 ms to 100 s. Not
+/// thread-safe: the traffic thread records the durations and formats the text.
 class LatencyHistograms
 {
 public:
--- a/src/libreachlead/latency.cpp
+++ b/src/libreachlead/latency.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr unsigned bins = 20; ///< four for each tenfold step
-constexpr double lowestMs = 1.0;
-constexpr double highestMs = 100'000.0;
+constexpr unsigned bins = 20; ///< four per decade
+constexpr double minMs = 1.0;
+constexpr double maxMs = 100'000.0;
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(LatencyKind::Size)> names{
+constexpr std::array<std::string_view, static_cast<std::size_t>(LatencyKind::Size)> histogramNames{
     "first_byte", "whole", "connect"};
 
 } // namespace
 
 LatencyHistograms::LatencyHistograms()
 {
-    m_histograms.fill(boost::histogram::make_histogram(Axis(bins, lowestMs, highestMs)));
+    m_histograms.fill(boost::histogram::make_histogram(Axis(bins, minMs, maxMs)));
 }
 
 void LatencyHistograms::recordLatency(LatencyKind what, Duration d)
@@ -35,19 +35,19 @@
 std::string LatencyHistograms::prometheusText() const
 {
     std::string page;
-    for (std::size_t n = 0; n < names.size(); ++n) {
+    for (std::size_t n = 0; n < histogramNames.size(); ++n) {
         const Histogram &histogram = m_histograms[n];
-        const std::string name = fmt::format("reachlead_{}_milliseconds", names[n]);
+        const std::string name = fmt::format("reachlead_{}_milliseconds", histogramNames[n]);
         page += fmt::format("# TYPE {} histogram\n", name);
-        double below = histogram.at(-1);
+        double cumulative = histogram.at(-1);
         for (unsigned bin = 0; bin < bins; ++bin) {
-            below += histogram.at(static_cast<int>(bin));
+            cumulative += histogram.at(static_cast<int>(bin));
             page += fmt::format("{}_bucket{{le=\"{:.3g}\"}} {}\n", name,
-                                histogram.axis().bin(static_cast<int>(bin)).upper(), below);
+                                histogram.axis().bin(static_cast<int>(bin)).upper(), cumulative);
         }
-        const double all = below + histogram.at(static_cast<int>(bins));
-        page += fmt::format("{}_bucket{{le=\"+Inf\"}} {}\n{}_sum {}\n{}_count {}\n", name, all,
-                            name, m_sums[n], name, all);
+        const double total = cumulative + histogram.at(static_cast<int>(bins));
+        page += fmt::format("{}_bucket{{le=\"+Inf\"}} {}\n{}_sum {}\n{}_count {}\n", name, total,
+                            name, m_sums[n], name, total);
     }
     return page;
 }
@@ -55,11 +55,11 @@
 double LatencyHistograms::quantile(LatencyKind what, double q) const
 {
     const Histogram &histogram = m_histograms[static_cast<std::size_t>(what)];
-    const double all = std::accumulate(histogram.begin(), histogram.end(), 0.0);
-    double below = 0;
+    const double total = std::accumulate(histogram.begin(), histogram.end(), 0.0);
+    double cumulative = 0;
     for (unsigned bin = 0; bin < bins; ++bin) {
-        below += histogram.at(static_cast<int>(bin));
-        if (all > 0 && below >= q * all)
+        cumulative += histogram.at(static_cast<int>(bin));
+        if (total > 0 && cumulative >= q * total)
             return histogram.axis().bin(static_cast<int>(bin)).upper();
     }
     return 0;
