--- a/src/include/reachlead/answerchannel.h
+++ b/src/include/reachlead/answerchannel.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The meeting point of one open request between the caller's thread and the dispatching thread.
+/// Two-way channel of one open request between the caller's thread and the dispatching thread.
 
 #pragma once
 
@@ -16,10 +16,11 @@
 
 namespace reachlead {
 
-/// Carries answer events one way, and `gone` and `took` the other. Thread-safe.
+/// Carries answer events to the caller's thread, and the caller's disconnect and token consumption
+/// to the dispatching thread. Thread-safe.
 ///
-/// Each way is announced through a ring at most once until the other side has looked, so a ring
-/// with a place for each open request is never full.
+/// Each direction is signalled through a ring at most once until the other side has read it, so a
+/// ring with one slot for each open request never overflows.
 class AnswerChannel
 {
 public:
@@ -29,59 +30,63 @@
 
     // ---- dispatching thread ----
 
-    /// Appends an event; true when the caller's thread must be told.
+    /// Appends an event. Returns true when the caller's thread must be notified.
     bool put(CallerEvent event)
     {
         std::scoped_lock lock(m_mutex);
         m_events.push_back(std::move(event));
-        return !std::exchange(m_announced, true);
+        return !std::exchange(m_eventsSignalled, true);
     }
 
-    /// Takes what the caller said: whether it went away, and how many tokens it took.
+    /// Returns whether the caller disconnected, and the number of tokens it consumed since the last
+    /// call.
     std::pair<bool, std::uint64_t> takeCallerState()
     {
         std::scoped_lock lock(m_mutex);
-        m_callerAnnounced = false;
-        return {m_gone, std::exchange(m_took, 0)};
+        m_callerSignalled = false;
+        return {m_callerDisconnected, std::exchange(m_consumedTokens, 0)};
     }
 
     // ---- caller's thread ----
 
-    /// Takes all events that came.
+    /// Removes and returns all pending events.
     std::vector<CallerEvent> take()
     {
         std::scoped_lock lock(m_mutex);
-        m_announced = false;
+        m_eventsSignalled = false;
         return std::exchange(m_events, {});
     }
 
-    /// The caller went away; true when the dispatching thread must be told.
+    /// Records that the caller disconnected. Returns true when the dispatching thread must be
+    /// notified.
     bool setDisconnected()
     {
         std::scoped_lock lock(m_mutex);
-        m_gone = true;
-        return !std::exchange(m_callerAnnounced, true);
+        m_callerDisconnected = true;
+        return !std::exchange(m_callerSignalled, true);
     }
 
-    /// The caller took tokens; true when the dispatching thread must be told.
+    /// Records that the caller consumed tokens. Returns true when the dispatching thread must be
+    /// notified.
     bool addConsumed(std::uint64_t tokens)
     {
         std::scoped_lock lock(m_mutex);
-        m_took += tokens;
-        return !std::exchange(m_callerAnnounced, true);
+        m_consumedTokens += tokens;
+        return !std::exchange(m_callerSignalled, true);
     }
 
-    /// Called on the caller's thread when events wait. Set before the request is submitted.
+    /// Called on the caller's thread when events are pending. To be set before the request is
+    /// submitted.
     std::function<void()> onReady;
 
 private:
     RequestId m_id;
     std::mutex m_mutex;
     std::vector<CallerEvent> m_events;
-    bool m_announced = false;
-    bool m_gone = false;
-    std::uint64_t m_took = 0;
-    bool m_callerAnnounced = false;
+    bool m_eventsSignalled = false;
+    bool m_callerDisconnected = false;
+    std::uint64_t m_consumedTokens = 0;
+    bool m_callerSignalled = false;
 };
 
 using AnswerChannelPtr = std::shared_ptr<AnswerChannel>;
--- a/src/include/reachlead/requestlifecycle.h
+++ b/src/include/reachlead/requestlifecycle.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The life of a request in the router: a Boost.MSM machine behind a plain face.
+/// State machine of a request in the router, implemented with Boost.MSM behind an opaque interface.
 
 #pragma once
 
@@ -14,15 +14,15 @@
 enum class RequestState : std::uint8_t { Queued, Sent, Running, Recovering, Ended };
 
 enum class RequestEvent : std::uint8_t {
-    Assigned, ///< handed to an agent
-    ExecutionStarted, ///< the agent said it started, or a piece of the answer came
+    Assigned, ///< dispatched to an agent
+    ExecutionStarted, ///< the agent reported the start, or the first part of the answer arrived
     SessionLost, ///< the session to the agent was lost
     Recovered, ///< the agent still holds the attempt
-    Requeued, ///< to be placed again
-    Finished ///< the caller was told the final word
+    Requeued, ///< returned to the queue for another attempt
+    Finished ///< the caller got the final result
 };
 
-/// Allows only the moves a request can make. Not thread-safe.
+/// Permits only the valid state transitions of a request. Not thread-safe.
 class RequestLifecycle
 {
 public:
@@ -31,7 +31,8 @@
     RequestLifecycle(RequestLifecycle &&) noexcept;
     RequestLifecycle &operator=(RequestLifecycle &&) noexcept;
 
-    /// Makes a move; false when the state does not allow it, and nothing changes.
+    /// Applies an event. Returns false, and leaves the state unchanged, when the state does not
+    /// permit it.
     bool apply(RequestEvent event);
 
     RequestState state() const;
--- a/src/include/reachlead/retrybudget.h
+++ b/src/include/reachlead/retrybudget.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A budget of retries: a fraction of first tries, so that a brown-out is not multiplied.
+/// A budget that limits retries to a fraction of the first attempts, so that retries do not
+/// multiply the load during a brown-out.
 
 #pragma once
 
@@ -12,16 +13,16 @@
 
 namespace reachlead {
 
-/// The retries one class may make. Not thread-safe.
+/// The retry budget of one class. Not thread-safe.
 class RetryBudget
 {
 public:
-    static constexpr double retriesPerRequest = 0.1; ///< retries earned by each first try
-    static constexpr double maxSavedRetries = 20.0; ///< retries that can be saved up
+    static constexpr double retriesPerRequest = 0.1; ///< added to the budget by each first attempt
+    static constexpr double maxSavedRetries = 20.0; ///< upper bound of the budget
 
     void recordFirstAttempt() { m_saved = std::min(maxSavedRetries, m_saved + retriesPerRequest); }
 
-    /// Takes one retry; false when none is left.
+    /// Consumes one retry. Returns false when the budget does not allow it.
     bool take()
     {
         if (m_saved < 1.0)
@@ -34,13 +35,13 @@
     double m_saved = maxSavedRetries / 2;
 };
 
-/// The longest pause before retry \p n (1 is the first); the pause itself is drawn evenly between
-/// zero and this (full jitter).
+/// Upper bound of the delay before retry \p n, counted from 1. The delay itself is drawn uniformly
+/// between zero and this bound (full jitter).
 inline Duration maxRetryBackoff(unsigned n)
 {
     constexpr Duration base = milliseconds(20);
-    constexpr unsigned mostDoublings = 6;
-    return base * (1U << std::min(n - 1, mostDoublings));
+    constexpr unsigned maxDoublings = 6;
+    return base * (1U << std::min(n - 1, maxDoublings));
 }
 
 } // namespace reachlead
--- a/src/libreachlead/requestlifecycle.cpp
+++ b/src/libreachlead/requestlifecycle.cpp
@@ -14,13 +14,13 @@
 namespace msm = boost::msm;
 namespace front = boost::msm::front;
 
-struct Bound
+struct Assigned
 { };
-struct Began
+struct ExecutionStarted
 { };
 struct SessionLost
 { };
-struct Found
+struct Recovered
 { };
 struct Requeued
 { };
@@ -44,34 +44,34 @@
     using no_message_queue = int;
     using initial_state = Queued;
 
-    bool refusedMove = false;
+    bool wasRejected = false;
 
     using none = front::none;
-    // MSM numbers the states in the order of their first use as a source, then as a target;
-    // RequestState lists them in the same order.
+    // MSM numbers the states by their first use as a source, then as a target. RequestState lists
+    // them in the same order, because state() casts the number.
     // clang-format off
     struct transition_table : boost::mpl::vector<
-        front::Row<Queued,     Bound,      Sent,       none, none>,
-        front::Row<Queued,     Finished,   Ended,      none, none>,
-        front::Row<Sent,       Began,      Running,    none, none>,
-        front::Row<Sent,       Requeued,    Queued,     none, none>,
-        front::Row<Sent,       SessionLost, Recovering, none, none>,
-        front::Row<Sent,       Finished,   Ended,      none, none>,
-        front::Row<Running,    Began,      none,       none, none>,
-        front::Row<Running,    Requeued,    Queued,     none, none>,
-        front::Row<Running,    SessionLost, Recovering, none, none>,
-        front::Row<Running,    Finished,   Ended,      none, none>,
-        front::Row<Recovering, Found,      Running,    none, none>,
-        front::Row<Recovering, Requeued,    Queued,     none, none>,
-        front::Row<Recovering, SessionLost, none,       none, none>,
-        front::Row<Recovering, Finished,   Ended,      none, none>
+        front::Row<Queued,     Assigned,         Sent,       none, none>,
+        front::Row<Queued,     Finished,         Ended,      none, none>,
+        front::Row<Sent,       ExecutionStarted, Running,    none, none>,
+        front::Row<Sent,       Requeued,         Queued,     none, none>,
+        front::Row<Sent,       SessionLost,      Recovering, none, none>,
+        front::Row<Sent,       Finished,         Ended,      none, none>,
+        front::Row<Running,    ExecutionStarted, none,       none, none>,
+        front::Row<Running,    Requeued,         Queued,     none, none>,
+        front::Row<Running,    SessionLost,      Recovering, none, none>,
+        front::Row<Running,    Finished,         Ended,      none, none>,
+        front::Row<Recovering, Recovered,        Running,    none, none>,
+        front::Row<Recovering, Requeued,         Queued,     none, none>,
+        front::Row<Recovering, SessionLost,      none,       none, none>,
+        front::Row<Recovering, Finished,         Ended,      none, none>
     > {};
     // clang-format on
 
     template <class Machine, class Event>
     void no_transition(const Event & /*event*/, Machine &m, int /*state*/)
     {
-        m.refusedMove = true;
+        m.wasRejected = true;
     }
 };
 
@@ -80,11 +80,11 @@
 class RequestLifecycle::Impl : public msm::back::state_machine<MachineDef>
 {
 public:
-    template <class Event> bool move()
+    template <class Event> bool process()
     {
-        refusedMove = false;
+        wasRejected = false;
         process_event(Event{});
-        return !refusedMove;
+        return !wasRejected;
     }
 };
 
@@ -99,11 +99,11 @@
 
 bool RequestLifecycle::apply(RequestEvent event)
 {
-    using Move = bool (Impl::*)();
-    constexpr std::array<Move, 6> moves{&Impl::move<Bound>,       &Impl::move<Began>,
-                                        &Impl::move<SessionLost>, &Impl::move<Found>,
-                                        &Impl::move<Requeued>,    &Impl::move<Finished>};
-    return (*m_impl.*moves[static_cast<std::size_t>(event)])();
+    using Transition = bool (Impl::*)();
+    constexpr std::array<Transition, 6> transitions{
+        &Impl::process<Assigned>,  &Impl::process<ExecutionStarted>, &Impl::process<SessionLost>,
+        &Impl::process<Recovered>, &Impl::process<Requeued>,         &Impl::process<Finished>};
+    return (*m_impl.*transitions[static_cast<std::size_t>(event)])();
 }
 
 RequestState RequestLifecycle::state() const
