--- a/src/libreachlead/fifoqueue.cpp
+++ b/src/libreachlead/fifoqueue.cpp
@@ -9,7 +9,7 @@
 
 namespace reachlead::pvt {
 
-std::size_t FifoQueue::rowOf(const ClassName &cls) const
+std::size_t FifoQueue::queueIndex(const ClassName &cls) const
 {
     if (m_tiers == Tiers::Mixed)
         return 0;
@@ -19,32 +19,32 @@
 
 std::optional<ShedRequest> FifoQueue::push(const QueuedRequest &request)
 {
-    if (m_places.size() >= m_policies->queueLimit)
+    if (m_locations.size() >= m_policies->queueLimit)
         return ShedRequest{request.id, ErrorKind::QueueFull};
-    const std::size_t row = rowOf(request.cls);
-    const auto it = m_rows[row].insert(m_rows[row].end(), request);
-    m_places[request.id] = {row, it};
+    const std::size_t queue = queueIndex(request.cls);
+    const auto it = m_queues[queue].insert(m_queues[queue].end(), request);
+    m_locations[request.id] = {queue, it};
     return std::nullopt;
 }
 
 std::optional<QueuedRequest> FifoQueue::pop()
 {
-    const auto row = std::ranges::find_if(m_rows, [](const auto &r) { return !r.empty(); });
-    if (row == m_rows.end())
+    const auto queue = std::ranges::find_if(m_queues, [](const auto &r) { return !r.empty(); });
+    if (queue == m_queues.end())
         return std::nullopt;
-    QueuedRequest request = std::move(row->front());
-    row->pop_front();
-    m_places.erase(request.id);
+    QueuedRequest request = std::move(queue->front());
+    queue->pop_front();
+    m_locations.erase(request.id);
     return request;
 }
 
 bool FifoQueue::remove(const RequestId &id)
 {
-    const auto it = m_places.find(id);
-    if (it == m_places.end())
+    const auto it = m_locations.find(id);
+    if (it == m_locations.end())
         return false;
-    m_rows[it->second.row].erase(it->second.it);
-    m_places.erase(it);
+    m_queues[it->second.queue].erase(it->second.it);
+    m_locations.erase(it);
     return true;
 }
 
@@ -55,20 +55,20 @@
 std::size_t FifoQueue::sizeAtOrAbove(Tier tier) const
 {
     if (m_tiers == Tiers::Mixed)
-        return m_places.size();
-    const auto rows = m_rows | std::views::take(indexOf(tier) + 1);
-    return std::accumulate(rows.begin(), rows.end(), std::size_t{0},
-                           [](std::size_t sum, const auto &row) { return sum + row.size(); });
+        return m_locations.size();
+    const auto queues = m_queues | std::views::take(indexOf(tier) + 1);
+    return std::accumulate(queues.begin(), queues.end(), std::size_t{0},
+                           [](std::size_t sum, const auto &queue) { return sum + queue.size(); });
 }
 
 std::size_t FifoQueue::waiting(const ClassName &cls, const AccountName &account) const
 {
-    const auto isTheirs = [&](const QueuedRequest &r) {
+    const auto isMatch = [&](const QueuedRequest &r) {
         return r.cls == cls && r.account == account;
     };
     std::size_t sum = 0;
-    for (const auto &row : m_rows)
-        sum += static_cast<std::size_t>(std::ranges::count_if(row, isTheirs));
+    for (const auto &queue : m_queues)
+        sum += static_cast<std::size_t>(std::ranges::count_if(queue, isMatch));
     return sum;
 }
 
--- a/src/libreachlead/fifoqueue.h
+++ b/src/libreachlead/fifoqueue.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The baseline queues that the tiered queue is measured against.
+/// The baseline queues that TieredQueue is compared with in benchmarks.
 
 #pragma once
 
@@ -13,8 +13,8 @@
 
 namespace reachlead::pvt {
 
-/// First come, first served; over all tiers mixed, or strictly tier by tier. The newest request
-/// is refused when the queue is full.
+/// First come, first served, either over all tiers together or strictly tier by tier. New requests
+/// are refused when the queue is full.
 class FifoQueue : public RequestQueue
 {
 public:
@@ -29,23 +29,23 @@
     std::optional<Tier> nextTier() const override { return std::nullopt; }
     bool remove(const RequestId &id) override;
     void charge(const ClassName &cls, const AccountName &account, double tokens) override;
-    std::size_t size() const override { return m_places.size(); }
+    std::size_t size() const override { return m_locations.size(); }
     std::size_t sizeAtOrAbove(Tier tier) const override;
     std::size_t waiting(const ClassName &cls, const AccountName &account) const override;
 
 private:
-    struct Place
+    struct Location
     {
-        std::size_t row = 0;
+        std::size_t queue = 0;
         std::list<QueuedRequest>::iterator it;
     };
 
-    std::size_t rowOf(const ClassName &cls) const;
+    std::size_t queueIndex(const ClassName &cls) const;
 
     PoliciesPtr m_policies;
     Tiers m_tiers;
-    std::array<std::list<QueuedRequest>, tierCount> m_rows;
-    std::unordered_map<RequestId, Place> m_places;
+    std::array<std::list<QueuedRequest>, tierCount> m_queues;
+    std::unordered_map<RequestId, Location> m_locations;
 };
 
 } // namespace reachlead::pvt
--- a/src/libreachlead/requestqueue_test.cpp
+++ b/src/libreachlead/requestqueue_test.cpp
@@ -43,14 +43,14 @@
     CPPUNIT_TEST_SUITE(RequestQueueTest);
     CPPUNIT_TEST(servesHigherTiersFirst);
     CPPUNIT_TEST(servesAccountsFairly);
-    CPPUNIT_TEST(returningAccountSavesUpNothing);
-    CPPUNIT_TEST(weighsClassesOfOneTier);
-    CPPUNIT_TEST(earliestDeadlineInsideAnAccount);
+    CPPUNIT_TEST(idleAccountAccumulatesNoCredit);
+    CPPUNIT_TEST(sharesOneTierByClassWeight);
+    CPPUNIT_TEST(earliestDeadlineFirstWithinAnAccount);
     CPPUNIT_TEST(shedsTheNewestOfTheLowestTier);
     CPPUNIT_TEST(reservedPlacesAreNotTaken);
     CPPUNIT_TEST(neverShedsAHigherTierForALower);
     CPPUNIT_TEST(noClassStarvesBeyondItsBound);
-    CPPUNIT_TEST(removedRequestsLeaveNoTrace);
+    CPPUNIT_TEST(removedRequestsAreNotServed);
     CPPUNIT_TEST_SUITE_END();
 
     void servesHigherTiersFirst()
@@ -72,13 +72,13 @@
             queue->push(make(n, 0, "flood"));
         for (std::uint64_t n = 100; n < 110; ++n)
             queue->push(make(n, 0, "quiet"));
-        unsigned quiet = 0;
+        unsigned servedFromQuiet = 0;
         for (unsigned n = 0; n < 20; ++n)
-            quiet += queue->pop()->account == AccountName("quiet") ? 1 : 0;
-        CPPUNIT_ASSERT_EQUAL(10U, quiet);
+            servedFromQuiet += queue->pop()->account == AccountName("quiet") ? 1 : 0;
+        CPPUNIT_ASSERT_EQUAL(10U, servedFromQuiet);
     }
 
-    void returningAccountSavesUpNothing()
+    void idleAccountAccumulatesNoCredit()
     {
         const auto queue = makeRequestQueue(QueueOrder::TieredFair, makePolicies(1000, 0));
         for (std::uint64_t n = 0; n < 100; ++n)
@@ -87,13 +87,14 @@
             queue->pop();
         for (std::uint64_t n = 100; n < 150; ++n)
             queue->push(make(n, 0, "back"));
-        unsigned steady = 0;
+        unsigned servedFromSteady = 0;
         for (unsigned n = 0; n < 20; ++n)
-            steady += queue->pop()->account == AccountName("steady") ? 1 : 0;
-        CPPUNIT_ASSERT(steady >= 9); // not held up for the 50 served while the other was away
+            servedFromSteady += queue->pop()->account == AccountName("steady") ? 1 : 0;
+        // No penalty for the 50 requests served while the other account was idle.
+        CPPUNIT_ASSERT(servedFromSteady >= 9);
     }
 
-    void weighsClassesOfOneTier()
+    void sharesOneTierByClassWeight()
     {
         auto policies = std::make_shared<Policies>(*makePolicies(1000, 0));
         policies->classes[ClassName("tier-1")].tier = Tier{0};
@@ -103,13 +104,13 @@
             queue->push(make(n, 0, "a"));
             queue->push(make(1000 + n, 1, "a"));
         }
-        unsigned heavy = 0;
+        unsigned servedFromHeavier = 0;
         for (unsigned n = 0; n < 40; ++n)
-            heavy += queue->pop()->cls == ClassName("tier-1") ? 1 : 0;
-        CPPUNIT_ASSERT(heavy >= 29 && heavy <= 31);
+            servedFromHeavier += queue->pop()->cls == ClassName("tier-1") ? 1 : 0;
+        CPPUNIT_ASSERT(servedFromHeavier >= 29 && servedFromHeavier <= 31);
     }
 
-    void earliestDeadlineInsideAnAccount()
+    void earliestDeadlineFirstWithinAnAccount()
     {
         const auto queue = makeRequestQueue(QueueOrder::TieredFair, makePolicies(100, 0));
         QueuedRequest later = make(1, 0, "a");
@@ -139,24 +140,25 @@
         std::uint64_t n = 0;
         while (!queue->push(make(n, 0, "a")))
             ++n;
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{80}, n); // 4 other classes keep 5 places each
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{80}, n); // each of the 4 other classes reserves 5
         CPPUNIT_ASSERT(!queue->push(make(1000, 4, "a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t{81}, queue->size());
     }
 
-    /// On every shed: no request of a lower tier than the victim held a place that could be freed.
+    /// Property test with random pushes and pops: whenever a request is shed, no lower tier holds
+    /// more than its reserved places, and the victim is not of a higher tier than the new request.
     void neverShedsAHigherTierForALower()
     {
-        const bool good = rc::check("shed order", [] {
+        const bool holds = rc::check("shed order", [] {
             const auto limit = *rc::gen::inRange<std::size_t>(5, 60);
             const double floor = *rc::gen::element(0.0, 0.02, 0.08);
             const auto queue = makeRequestQueue(QueueOrder::TieredFair, makePolicies(limit, floor));
             const auto reserved =
                 static_cast<std::size_t>(std::ceil(floor * static_cast<double>(limit)));
             std::map<std::uint64_t, unsigned> tierOf;
-            std::array<std::size_t, tierCount> held{};
-            const auto drop = [&](std::uint64_t id) {
-                --held[tierOf.at(id)];
+            std::array<std::size_t, tierCount> queuedOfTier{};
+            const auto forget = [&](std::uint64_t id) {
+                --queuedOfTier[tierOf.at(id)];
                 tierOf.erase(id);
             };
             const auto steps =
@@ -165,35 +167,36 @@
             for (const unsigned step : steps) {
                 if (step >= tierCount) {
                     if (const auto next = queue->pop())
-                        drop(next->id.sequence);
+                        forget(next->id.sequence);
                     continue;
                 }
                 tierOf[++n] = step;
-                ++held[step];
+                ++queuedOfTier[step];
                 const auto shed = queue->push(make(n, step, fmt::format("acc-{}", n % 4)));
                 if (!shed)
                     continue;
                 const unsigned victim = tierOf.at(shed->id.sequence);
                 for (unsigned lower = victim + 1; lower < tierCount; ++lower)
-                    RC_ASSERT(held[lower] <= reserved);
+                    RC_ASSERT(queuedOfTier[lower] <= reserved);
                 RC_ASSERT(victim >= step);
-                drop(shed->id.sequence);
+                forget(shed->id.sequence);
             }
             RC_ASSERT(queue->size() == tierOf.size());
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(holds);
     }
 
-    /// A class with floor f is served within (its cost / f) tokens of others' service, plus one
-    /// request of each class that is owed as well.
+    /// Guards against starvation by higher tiers: a class with floor f is served within (cost of
+    /// its request) / f tokens of service to others, plus one request of each other class that has
+    /// floor credit. All classes are kept backlogged.
     void noClassStarvesBeyondItsBound()
     {
         constexpr double floor = 0.05;
         constexpr double cost = 10;
         const auto queue = makeRequestQueue(QueueOrder::TieredFair, makePolicies(100000, floor));
         std::uint64_t n = 0;
-        std::map<ClassName, unsigned> sinceServed;
-        std::map<ClassName, unsigned> longest;
+        std::map<ClassName, unsigned> popsSinceServed;
+        std::map<ClassName, unsigned> maxPops;
         for (unsigned tier = 0; tier < tierCount; ++tier) {
             for (unsigned k = 0; k < 2000; ++k)
                 queue->push(make(++n, tier, "a", cost));
@@ -202,16 +205,16 @@
             const ClassName served = queue->pop()->cls;
             for (unsigned tier = 0; tier < tierCount; ++tier) {
                 const ClassName name(fmt::format("tier-{}", tier));
-                sinceServed[name] = name == served ? 0 : sinceServed[name] + 1;
-                longest[name] = std::max(longest[name], sinceServed[name]);
+                popsSinceServed[name] = name == served ? 0 : popsSinceServed[name] + 1;
+                maxPops[name] = std::max(maxPops[name], popsSinceServed[name]);
             }
         }
         const auto bound = static_cast<unsigned>(1 / floor) + tierCount;
-        for (const auto &[name, wait] : longest)
+        for (const auto &[name, wait] : maxPops)
             CPPUNIT_ASSERT_MESSAGE(fmt::format("{} waited {}", name.text, wait), wait <= bound);
     }
 
-    void removedRequestsLeaveNoTrace()
+    void removedRequestsAreNotServed()
     {
         const auto queue = makeRequestQueue(QueueOrder::TieredFair, makePolicies(100, 0.02));
         queue->push(make(1, 0, "a"));
--- a/src/libreachlead/tieredqueue.cpp
+++ b/src/libreachlead/tieredqueue.cpp
@@ -19,16 +19,16 @@
         return entry.second.size() == 0 && !policies->classes.contains(entry.first);
     });
     for (auto &[name, cls] : m_classes) {
-        const double places = cls.policy.floor * static_cast<double>(policies->queueLimit);
-        const auto reserved = static_cast<std::size_t>(std::ceil(places));
+        const double guaranteed = cls.policy.floor * static_cast<double>(policies->queueLimit);
+        const auto reserved = static_cast<std::size_t>(std::ceil(guaranteed));
         cls.reserved = std::min(reserved, cls.policy.queueBound);
     }
 }
 
 TieredQueue::ClassQueue &TieredQueue::classQueue(const ClassName &name)
 {
-    // Arrivals are checked against the same policies; a class unknown here was removed between
-    // the check and now, and serves its last requests with default values.
+    // The router checks arrivals against the same policies. A class that is unknown here was
+    // removed since that check; its remaining requests are served with default settings.
     ClassQueue &cls = m_classes[name];
     cls.policy.name = name;
     return cls;
@@ -45,23 +45,23 @@
     return shed;
 }
 
-std::optional<ShedRequest> TieredQueue::makeRoom(const ClassQueue &cls, const RequestId &newcomer)
+std::optional<ShedRequest> TieredQueue::makeRoom(const ClassQueue &cls, const RequestId &arrival)
 {
-    if (cls.size() < cls.reserved || sharedUsed() < sharedPlaces())
+    if (cls.size() < cls.reserved || sharedUsed() < sharedCapacity())
         return std::nullopt;
     ClassQueue *victims = victimClass(cls.policy.tier);
     if (!victims)
-        return ShedRequest{newcomer, ErrorKind::QueueFull};
+        return ShedRequest{arrival, ErrorKind::QueueFull};
     const RequestId victim = victims->byArrival.rbegin()->second;
     remove(victim);
     return ShedRequest{victim, ErrorKind::ShedForHigherTier};
 }
 
-TieredQueue::ClassQueue *TieredQueue::victimClass(Tier newcomer)
+TieredQueue::ClassQueue *TieredQueue::victimClass(Tier arrival)
 {
     ClassQueue *lowest = nullptr;
     for (auto &[name, cls] : m_classes) {
-        if (cls.shared() == 0 || cls.policy.tier <= newcomer)
+        if (cls.shared() == 0 || cls.policy.tier <= arrival)
             continue;
         if (!lowest || cls.policy.tier > lowest->policy.tier)
             lowest = &cls;
@@ -69,7 +69,7 @@
     return lowest;
 }
 
-std::size_t TieredQueue::sharedPlaces() const
+std::size_t TieredQueue::sharedCapacity() const
 {
     const std::size_t reserved =
         std::accumulate(m_classes.begin(), m_classes.end(), std::size_t{0},
@@ -89,26 +89,27 @@
     const Order order = m_nextOrder++;
     AccountQueue &queue = cls.accounts[request.account];
     if (queue.byDeadline.empty()) {
-        queue.charged = std::max(queue.charged, cls.floorOfCharged);
-        cls.active.emplace(queue.charged, request.account);
+        queue.chargedTokens = std::max(queue.chargedTokens, cls.minCharge);
+        cls.active.emplace(queue.chargedTokens, request.account);
     }
-    queue.byDeadline.emplace(std::pair(request.deadline, order), Waiting{request, order});
+    queue.byDeadline.emplace(std::pair(request.deadline, order), Entry{request, order});
     cls.byArrival.emplace(order, request.id);
-    m_places[request.id] = {request.cls, request.account, request.deadline, order};
-    forgetIdle(cls);
+    m_locations[request.id] = {request.cls, request.account, request.deadline, order};
+    evictIdleAccounts(cls);
 }
 
-void TieredQueue::forgetIdle(ClassQueue &cls)
+void TieredQueue::evictIdleAccounts(ClassQueue &cls)
 {
-    if (cls.accounts.size() <= mostIdleAccounts)
+    if (cls.accounts.size() <= maxIdleAccounts)
         return;
-    // Idle accounts at or under the floor of charges lose nothing by being forgotten.
+    // An idle account at or below the minimum charge loses nothing: it would restart at the minimum
+    // anyway.
     std::erase_if(cls.accounts, [&](const auto &entry) {
-        return entry.second.byDeadline.empty() && entry.second.charged <= cls.floorOfCharged;
+        return entry.second.byDeadline.empty() && entry.second.chargedTokens <= cls.minCharge;
     });
 }
 
-const TieredQueue::Waiting &TieredQueue::next(const ClassQueue &cls) const
+const TieredQueue::Entry &TieredQueue::next(const ClassQueue &cls) const
 {
     const AccountName &account = cls.active.begin()->second;
     return cls.accounts.at(account).byDeadline.begin()->second;
@@ -126,14 +127,14 @@
     return owed;
 }
 
-const TieredQueue::ClassQueue *TieredQueue::bestOfTopTier() const
+const TieredQueue::ClassQueue *TieredQueue::nextByTier() const
 {
     const ClassQueue *best = nullptr;
     for (const auto &[name, cls] : m_classes) {
         if (cls.size() == 0)
             continue;
-        const auto rank = std::pair(cls.policy.tier, cls.served);
-        if (!best || rank < std::pair(best->policy.tier, best->served))
+        const auto key = std::pair(cls.policy.tier, cls.served);
+        if (!best || key < std::pair(best->policy.tier, best->served))
             best = &cls;
     }
     return best;
@@ -141,31 +142,32 @@
 
 std::optional<QueuedRequest> TieredQueue::pop()
 {
-    if (m_places.empty())
+    if (m_locations.empty())
         return std::nullopt;
     const ClassQueue *owed = owedByFloor();
-    ClassQueue *cls = &m_classes.at((owed ? owed : bestOfTopTier())->policy.name);
+    ClassQueue *cls = &m_classes.at((owed ? owed : nextByTier())->policy.name);
     if (owed)
         cls->floorCredit -= next(*cls).request.cost;
     const AccountName owner = cls->active.begin()->second;
-    const Waiting waiting = next(*cls);
-    cls->floorOfCharged = std::max(cls->floorOfCharged, cls->active.begin()->first);
-    QueuedRequest request = take(*cls, owner, waiting);
-    recharge(*cls, owner, request.cost);
-    account(*cls, request.cost);
+    const Entry entry = next(*cls);
+    cls->minCharge = std::max(cls->minCharge, cls->active.begin()->first);
+    QueuedRequest request = extract(*cls, owner, entry);
+    addCharge(*cls, owner, request.cost);
+    recordService(*cls, request.cost);
     return request;
 }
 
 std::optional<Tier> TieredQueue::nextTier() const
 {
-    if (m_places.empty())
+    if (m_locations.empty())
         return std::nullopt;
     const ClassQueue *owed = owedByFloor();
-    return (owed ? owed : bestOfTopTier())->policy.tier;
+    return (owed ? owed : nextByTier())->policy.tier;
 }
 
-/// Books the service just given: the class's own share, and the credit of all that wait.
-void TieredQueue::account(ClassQueue &served, double cost)
+/// Charges the service just given to the class, and credits the floors of the other classes with
+/// queued requests.
+void TieredQueue::recordService(ClassQueue &served, double cost)
 {
     served.served += cost / served.policy.weight;
     for (auto &[name, cls] : m_classes) {
@@ -174,51 +176,51 @@
     }
 }
 
-QueuedRequest TieredQueue::take(ClassQueue &cls, const AccountName &account, const Waiting &waiting)
+QueuedRequest TieredQueue::extract(ClassQueue &cls, const AccountName &account, const Entry &entry)
 {
     AccountQueue &queue = cls.accounts.at(account);
-    const auto it = queue.byDeadline.find({waiting.request.deadline, waiting.order});
+    const auto it = queue.byDeadline.find({entry.request.deadline, entry.order});
     QueuedRequest request = std::move(it->second.request);
     cls.byArrival.erase(it->second.order);
     queue.byDeadline.erase(it);
-    m_places.erase(request.id);
+    m_locations.erase(request.id);
     if (queue.byDeadline.empty())
-        cls.active.erase({queue.charged, account});
+        cls.active.erase({queue.chargedTokens, account});
     if (cls.size() == 0)
-        cls.floorCredit = 0; // an idle class saves up nothing
+        cls.floorCredit = 0; // an idle class accumulates no credit
     return request;
 }
 
 bool TieredQueue::remove(const RequestId &id)
 {
-    const auto it = m_places.find(id);
-    if (it == m_places.end())
+    const auto it = m_locations.find(id);
+    if (it == m_locations.end())
         return false;
-    const Place place = it->second;
-    ClassQueue &cls = m_classes.at(place.cls);
-    const auto &queue = cls.accounts.at(place.account);
-    const Waiting waiting = queue.byDeadline.at({place.deadline, place.order});
-    take(cls, place.account, waiting);
+    const Location location = it->second;
+    ClassQueue &cls = m_classes.at(location.cls);
+    const auto &queue = cls.accounts.at(location.account);
+    const Entry entry = queue.byDeadline.at({location.deadline, location.order});
+    extract(cls, location.account, entry);
     return true;
 }
 
-void TieredQueue::recharge(ClassQueue &cls, const AccountName &account, double tokens)
+void TieredQueue::addCharge(ClassQueue &cls, const AccountName &account, double tokens)
 {
     const auto it = cls.accounts.find(account);
     if (it == cls.accounts.end())
         return;
     AccountQueue &queue = it->second;
-    const bool isActive = cls.active.erase({queue.charged, account}) > 0;
-    queue.charged += tokens;
+    const bool isActive = cls.active.erase({queue.chargedTokens, account}) > 0;
+    queue.chargedTokens += tokens;
     if (isActive)
-        cls.active.emplace(queue.charged, account);
+        cls.active.emplace(queue.chargedTokens, account);
 }
 
 void TieredQueue::charge(const ClassName &cls, const AccountName &account, double tokens)
 {
     const auto it = m_classes.find(cls);
     if (it != m_classes.end())
-        recharge(it->second, account, tokens);
+        addCharge(it->second, account, tokens);
 }
 
 std::size_t TieredQueue::sizeAtOrAbove(Tier tier) const
--- a/src/libreachlead/tieredqueue.h
+++ b/src/libreachlead/tieredqueue.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The queue that carries the service levels.
+/// The queue that implements the service levels.
 
 #pragma once
 
@@ -14,23 +14,26 @@
 
 namespace reachlead::pvt {
 
-/// Serves by floors, then strict tiers, then weighted classes, then fair accounts, then earliest
-/// deadline.
+/// Selects the next request by class floors, then strict tiers, then class weights, then fairness
+/// among accounts, then the earliest deadline.
 ///
 /// Floors are counted in service: whenever a request of cost c is served, every other class with
-/// work gains floor × c tokens of credit, and a class whose credit covers its own next request is
-/// served next. So a class with floor f waits for at most (cost of its request) / f tokens of
-/// others' service, plus one request for each other class that has credit too.
+/// queued requests gains floor × c tokens of credit, and a class whose credit covers the cost of
+/// its own next request is served next. A class with floor f therefore waits for at most (cost of
+/// its request) / f tokens of service to others, plus one request of each other class that has
+/// credit as well.
 ///
-/// Accounts inside a class are served by virtual token counters: the account with the least
-/// charged tokens goes first, and one that comes back from idling starts at the least of those
-/// active (Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024).
+/// Accounts within a class are served by virtual token counters: the account with the fewest
+/// charged tokens is served first, and an account that becomes active again after an idle period
+/// starts at the lowest counter of the active accounts (Sheng et al., "Fairness in Serving Large
+/// Language Models", OSDI 2024).
 ///
-/// Places in the queue are reserved by floor as well: a class below its reserved places is always
-/// let in. Above them places are shared, and the newest request of the lowest tier goes first.
+/// Queue capacity is reserved by floor as well: a class that uses less than its reservation always
+/// gets in. The remaining capacity is shared; when it is full, the newest request of the lowest
+/// tier is shed.
 ///
-/// Cost of push and pop: logarithmic in the accounts and requests of one class, linear in the
-/// classes.
+/// push() and pop() are logarithmic in the accounts and requests of one class, and linear in the
+/// number of classes.
 class TieredQueue : public RequestQueue
 {
 public:
@@ -42,14 +45,14 @@
     std::optional<Tier> nextTier() const override;
     bool remove(const RequestId &id) override;
     void charge(const ClassName &cls, const AccountName &account, double tokens) override;
-    std::size_t size() const override { return m_places.size(); }
+    std::size_t size() const override { return m_locations.size(); }
     std::size_t sizeAtOrAbove(Tier tier) const override;
     std::size_t waiting(const ClassName &cls, const AccountName &account) const override;
 
 private:
-    using Order = std::uint64_t; ///< order of arrival
+    using Order = std::uint64_t; ///< arrival number
 
-    struct Waiting
+    struct Entry
     {
         QueuedRequest request;
         Order order = 0;
@@ -57,26 +60,27 @@
 
     struct AccountQueue
     {
-        double charged = 0; ///< virtual tokens served
-        std::map<std::pair<Time, Order>, Waiting> byDeadline;
+        double chargedTokens = 0; ///< virtual token counter
+        std::map<std::pair<Time, Order>, Entry> byDeadline;
     };
 
     struct ClassQueue
     {
         ClassPolicy policy;
-        std::size_t reserved = 0; ///< places in the queue that no other class may take
-        double floorCredit = 0; ///< tokens of service owed by the floor
-        double served = 0; ///< tokens served, over the weight
-        double floorOfCharged = 0; ///< least charge of a newly active account
+        std::size_t reserved = 0; ///< queue capacity that no other class may use
+        double floorCredit = 0; ///< tokens of service that the floor entitles the class to
+        double served = 0; ///< tokens served, divided by the weight
+        double minCharge = 0; ///< lowest counter for an account that becomes active
         std::unordered_map<AccountName, AccountQueue> accounts;
-        std::set<std::pair<double, AccountName>> active; ///< accounts with work, by charge
+        /// Accounts with queued requests, by charged tokens.
+        std::set<std::pair<double, AccountName>> active;
         std::map<Order, RequestId> byArrival;
 
         std::size_t size() const { return byArrival.size(); }
         std::size_t shared() const { return size() > reserved ? size() - reserved : 0; }
     };
 
-    struct Place
+    struct Location
     {
         ClassName cls;
         AccountName account;
@@ -84,25 +88,26 @@
         Order order = 0;
     };
 
-    static constexpr std::size_t mostIdleAccounts = 4096; ///< charges remembered for each class
+    /// Accounts kept in each class before idle ones are evicted.
+    static constexpr std::size_t maxIdleAccounts = 4096;
 
     ClassQueue &classQueue(const ClassName &name);
-    std::optional<ShedRequest> makeRoom(const ClassQueue &cls, const RequestId &newcomer);
-    ClassQueue *victimClass(Tier newcomer);
+    std::optional<ShedRequest> makeRoom(const ClassQueue &cls, const RequestId &arrival);
+    ClassQueue *victimClass(Tier arrival);
     void insert(ClassQueue &cls, const QueuedRequest &request);
-    QueuedRequest take(ClassQueue &cls, const AccountName &account, const Waiting &waiting);
-    const Waiting &next(const ClassQueue &cls) const;
+    QueuedRequest extract(ClassQueue &cls, const AccountName &account, const Entry &entry);
+    const Entry &next(const ClassQueue &cls) const;
     const ClassQueue *owedByFloor() const;
-    const ClassQueue *bestOfTopTier() const;
-    void account(ClassQueue &served, double cost);
-    void recharge(ClassQueue &cls, const AccountName &account, double tokens);
-    void forgetIdle(ClassQueue &cls);
-    std::size_t sharedPlaces() const;
+    const ClassQueue *nextByTier() const;
+    void recordService(ClassQueue &served, double cost);
+    void addCharge(ClassQueue &cls, const AccountName &account, double tokens);
+    void evictIdleAccounts(ClassQueue &cls);
+    std::size_t sharedCapacity() const;
     std::size_t sharedUsed() const;
 
     PoliciesPtr m_policies;
     std::map<ClassName, ClassQueue> m_classes;
-    std::unordered_map<RequestId, Place> m_places;
+    std::unordered_map<RequestId, Location> m_locations;
     Order m_nextOrder = 0;
 };
 
