--- a/src/include/reachlead/messages.h
+++ b/src/include/reachlead/messages.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The messages between routers and agents. Every frame about a request carries the request's id
-/// and the attempt, so that a frame of an older attempt is told apart and dropped.
+/// Messages between routers and agents. Every frame about a request carries the id of the request
+/// and the number of the attempt, so that frames of earlier attempts are recognised and dropped.
 
 #pragma once
 
@@ -19,13 +19,14 @@
 
 namespace reachlead {
 
-/// Raised when a message changes shape; a session between different versions is refused.
+/// Incremented whenever the layout of a message changes. Sessions between different versions are
+/// refused.
 inline constexpr std::uint32_t protocolVersion = 4;
 
-/// The largest frame either side takes, in bytes.
+/// The largest frame that either side accepts, in bytes.
 inline constexpr std::size_t maxFrameBytes = 2U << 20U;
 
-/// One HTTP header of a call that is passed on.
+/// An HTTP header that is passed on with a call or an answer.
 struct Header
 {
     std::string name;
@@ -34,34 +35,36 @@
     template <class Archive> void serialize(Archive &ar) { ar(name, value); }
 };
 
-/// What is asked of the upstream.
+/// The call to make at the upstream.
 struct Call
 {
     std::string method;
-    std::string path; ///< path and query at the upstream
+    std::string path; ///< path and query
     std::vector<Header> headers;
     std::string body;
 
     template <class Archive> void serialize(Archive &ar) { ar(method, path, headers, body); }
 };
 
-/// The content by which a request is known again, at routers and agents alike. Refers to \p call.
+/// The content that identifies equal requests, the same at routers and agents. Refers to \p call.
 inline RequestContent requestContent(const AccountName &account, const Call &call)
 {
     return {account, {}, call.path, call.body};
 }
 
-/// How an agent stands, told often; a router never trusts it to be current.
+/// The load of an agent. Reported often; a router must not assume that it is current.
 struct Load
 {
-    std::uint64_t sequence = 0; ///< rises with each change in one incarnation; the older loses
-    std::uint32_t window = 0; ///< requests it would run at once
+    std::uint64_t sequence = 0; ///< increases with each change within one incarnation
+    std::uint32_t window = 0; ///< maximum number of concurrent requests
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    std::uint32_t recipientRequests = 0; ///< of running and queued, those of the router told
-    std::uint32_t tokenGapMicros = 0; ///< measured time between tokens of one answer; 0: not yet
+    /// Of running and queued, the requests of the router that receives this.
+    std::uint32_t recipientRequests = 0;
+    /// Measured time between tokens of one answer; 0: no measurement yet.
+    std::uint32_t tokenGapMicros = 0;
     bool leaving = false;
-    /// Running attempts of each tier that a request of a higher tier may take the place of.
+    /// For each tier, the running attempts that a request of a higher tier may preempt.
     std::array<std::uint32_t, tierCount> preemptible{};
 
     bool operator==(const Load &) const = default;
@@ -75,16 +78,17 @@
 
 // ---- router → agent ---------------------------------------------------------------------
 
-/// Opens a session. A higher session number of the same router incarnation destroys the older.
+/// Opens a session. A higher session number of the same router incarnation closes the earlier
+/// session.
 struct Hello
 {
     std::uint32_t version = protocolVersion;
     VmName vm;
     Incarnation incarnation;
     std::uint64_t session = 0;
-    std::uint16_t heartbeatPort = 0; ///< UDP port of the router; 0: no heartbeats wanted
-    std::string nonce; ///< for the agent's proof
-    std::string proof; ///< of belonging to the fleet
+    std::uint16_t heartbeatPort = 0; ///< UDP port of the router; 0: send no heartbeats
+    std::string nonce; ///< to be signed by the agent's proof
+    std::string proof; ///< of fleet membership
 
     template <class Archive> void serialize(Archive &ar)
     {
@@ -92,7 +96,7 @@
     }
 };
 
-/// Hands a request to the agent.
+/// Dispatches an attempt of a request to the agent.
 struct Dispatch
 {
     RequestId id;
@@ -102,13 +106,13 @@
     std::uint8_t tier = 0;
     bool repeatable = true;
     bool stream = false; ///< the upstream answers with a token stream
-    bool preemptible = true; ///< may be stopped for a higher tier, to go on elsewhere
-    double floor = 0; ///< part of the window its class keeps against higher tiers
+    bool preemptible = true; ///< may be stopped for a higher tier and resumed elsewhere
+    double floor = 0; ///< fraction of the window that its class keeps against higher tiers
     std::string idempotencyKey; ///< empty: none
-    std::uint64_t interTokenMicros = 0; ///< target between tokens; 0: none
-    std::uint64_t resumeFrom = 0; ///< tokens the caller has already
-    std::string resumeText; ///< the text of those tokens
-    std::uint64_t credit = 0; ///< tokens that may be sent before more credit comes
+    std::uint64_t interTokenMicros = 0; ///< target time between tokens; 0: none
+    std::uint64_t resumeFrom = 0; ///< tokens that the caller has already received
+    std::string resumeText; ///< the text of these tokens
+    std::uint64_t credit = 0; ///< tokens that may be sent before further credit arrives
     Call call;
 
     template <class Archive> void serialize(Archive &ar)
@@ -118,7 +122,7 @@
     }
 };
 
-/// Stops a request: its caller is gone or its deadline passed.
+/// Cancels an attempt: the caller disconnected, the deadline passed, or its answer is corrupt.
 struct Cancel
 {
     RequestId id;
@@ -127,7 +131,7 @@
     template <class Archive> void serialize(Archive &ar) { ar(id, attempt); }
 };
 
-/// Lets the agent send more tokens of an answer.
+/// Grants the agent credit to send more tokens of an answer.
 struct Credit
 {
     RequestId id;
@@ -137,13 +141,13 @@
     template <class Archive> void serialize(Archive &ar) { ar(id, attempt, tokens); }
 };
 
-/// Asks what became of an attempt sent on an earlier session, and takes its answer up again.
+/// Queries the state of an attempt that was sent on an earlier session, and resumes its answer.
 struct AttemptQuery
 {
     RequestId id;
     Attempt attempt = 0;
-    std::uint64_t receivedTokens =
-        0; ///< tokens of the answer the router holds, counted from token 0
+    /// Tokens of the answer that the router has received, counted from token 0.
+    std::uint64_t receivedTokens = 0;
     std::uint64_t credit = 0;
 
     template <class Archive> void serialize(Archive &ar)
@@ -152,7 +156,8 @@
     }
 };
 
-/// Tells an agent that the membership list has it as leaving: it may not have been told itself.
+/// Reports to an agent whether the membership list marks it as leaving; it may not have learned
+/// this itself.
 struct Leaving
 {
     bool leaving = true;
@@ -164,7 +169,7 @@
 
 // ---- agent → router ---------------------------------------------------------------------
 
-/// The agent's first frame on a connection; the router's Hello signs its nonce.
+/// The agent's first frame on a connection. The proof in the router's Hello signs the nonce.
 struct Challenge
 {
     std::string nonce;
@@ -172,7 +177,7 @@
     template <class Archive> void serialize(Archive &ar) { ar(nonce); }
 };
 
-/// Answers Hello.
+/// Reply to Hello.
 struct Welcome
 {
     std::uint32_t version = protocolVersion;
@@ -181,7 +186,7 @@
     Incarnation incarnation;
     TargetName target;
     Load load;
-    std::string proof; ///< of belonging to the fleet
+    std::string proof; ///< of fleet membership
 
     template <class Archive> void serialize(Archive &ar)
     {
@@ -189,7 +194,7 @@
     }
 };
 
-/// The attempt was not run and will not be: proof.
+/// The attempt was not run and will not be; this is proof.
 struct Refused
 {
     RequestId id;
@@ -200,7 +205,7 @@
     template <class Archive> void serialize(Archive &ar) { ar(id, attempt, kind, reason); }
 };
 
-/// The attempt was handed to the upstream.
+/// The attempt was passed to the upstream.
 struct Started
 {
     RequestId id;
@@ -209,12 +214,13 @@
     template <class Archive> void serialize(Archive &ar) { ar(id, attempt); }
 };
 
-/// A piece of a streamed answer.
+/// A part of a streamed answer.
 struct Chunk
 {
     RequestId id;
     Attempt attempt = 0;
-    std::uint64_t from = 0; ///< index of the first token, counted over the whole answer
+    /// Index of the first token, counted from the start of the whole answer.
+    std::uint64_t from = 0;
     std::uint64_t count = 0;
     std::string text;
 
@@ -229,9 +235,9 @@
     ErrorKind kind = ErrorKind::None;
     Outcome outcome = Outcome::Ran;
     std::string reason;
-    std::uint64_t tokens = 0; ///< tokens of this attempt alone
-    std::uint64_t hash = 0; ///< XXH64 of the text of this attempt alone
-    std::uint32_t status = 0; ///< of a plain service's answer
+    std::uint64_t tokens = 0; ///< of this attempt only
+    std::uint64_t hash = 0; ///< XXH64 of the text of this attempt only
+    std::uint32_t status = 0; ///< HTTP status of a plain service's answer
     std::vector<Header> headers;
     std::string body;
 
@@ -241,14 +247,15 @@
     }
 };
 
-/// What the agent knows of an attempt that a router asked about.
+/// What the agent knows about an attempt that a router queries.
 enum class AttemptState : std::uint8_t {
-    NeverReceived, ///< proof that it was not run: nothing of the older session can still arrive
+    NeverReceived, ///< proves that it was not run: frames of the earlier session can no longer
+                   ///< arrive
     Held, ///< running or finished; its frames follow
-    Evicted ///< it may have run, but its record was dropped
+    Evicted ///< it may have run, but its record was evicted
 };
 
-/// Answers Query.
+/// Reply to AttemptQuery.
 struct AttemptQueryReply
 {
     RequestId id;
@@ -258,7 +265,7 @@
     template <class Archive> void serialize(Archive &ar) { ar(id, attempt, state); }
 };
 
-/// Tells a changed load.
+/// Reports a changed load.
 struct LoadReport
 {
     Load load;
@@ -266,12 +273,12 @@
     template <class Archive> void serialize(Archive &ar) { ar(load); }
 };
 
-/// The upstream's process ended under a request, whichever router it came from.
+/// The process of the upstream crashed while it had the request, whichever router had sent it.
 struct UpstreamCrash
 {
     RequestDigest request;
     std::uint64_t upstreamIncarnation =
-        0; ///< numbers the upstream's lives that this agent saw end, from 1
+        0; ///< number of the crashed incarnation, counted by this agent from 1
 
     template <class Archive> void serialize(Archive &ar) { ar(request, upstreamIncarnation); }
 };
@@ -279,8 +286,8 @@
 using ToRouter = std::variant<Challenge, Welcome, Refused, Started, Chunk, AttemptResult,
                               AttemptQueryReply, LoadReport, UpstreamCrash>;
 
-/// The datagram an agent sends to each router that holds a session. Datagrams may be lost,
-/// doubled or late; the sequence lets the router drop the older.
+/// The datagram that an agent sends to each router with a session. Datagrams may be lost,
+/// duplicated or delayed; routers use the sequence to drop outdated ones.
 struct Heartbeat
 {
     std::uint32_t version = protocolVersion;
@@ -288,7 +295,7 @@
     Incarnation incarnation;
     std::uint64_t sequence = 0;
     Load load;
-    std::string proof; ///< of belonging to the fleet
+    std::string proof; ///< of fleet membership
 
     template <class Archive> void serialize(Archive &ar)
     {
