--- a/src/include/reachlead/routercore.h
+++ b/src/include/reachlead/routercore.h
@@ -2,10 +2,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The decisions of a router: who waits, who is sent where, what is retried, what a caller is told.
+/// The decision logic of a router: queueing, dispatch to agents, retries, and the results that
+/// callers get.
 ///
-/// Pure: no sockets, no threads, no clock of its own. Events and the time go in through the
-/// member functions; what is to be done comes out of takeActions(). One thread owns it.
+/// It is deterministic and uses no sockets, threads or clock. Events and the current time are
+/// passed to the member functions; takeActions() returns the actions to carry out. Owned by one
+/// thread.
 
 #pragma once
 
@@ -33,33 +35,34 @@
 
 namespace reachlead {
 
-/// A checked request of a caller.
+/// A validated request of a caller.
 struct CallerRequest
 {
     RequestId id;
     AccountName account;
     ClassName cls;
     TargetName target;
-    bool isModel = true; ///< answered by a token stream; else a plain service's call
+    bool isModel = true; ///< answered by a token stream; otherwise a call of a plain service
     bool repeatable = true;
     std::string idempotencyKey; ///< empty: none
     Call call;
     std::uint64_t prefixHash = 0; ///< of the first bytes of the prompt; 0: unknown
 };
 
-/// What a caller is told.
+/// A part of a streamed answer.
 struct AnswerText
 {
     std::string text;
     std::uint64_t tokens = 0;
 };
+/// The complete answer of a plain service.
 struct ServiceResponse
 {
     unsigned status = 200;
     std::vector<Header> headers;
     std::string body;
 };
-/// The last word on a request. Kind None: the whole answer was given.
+/// The final result of a request. ErrorKind::None: the answer is complete.
 struct AnswerResult
 {
     ErrorKind kind = ErrorKind::None;
@@ -79,7 +82,7 @@
     VmName agent;
     ToAgent message;
 };
-/// The agent is silent: its session must be closed and opened anew.
+/// The agent is unresponsive: its session is to be closed and reopened.
 struct DropSession
 {
     VmName agent;
@@ -87,32 +90,39 @@
 };
 using RouterAction = std::variant<SendToCaller, SendToAgent, DropSession>;
 
-/// The choices that can be exchanged for baselines.
+/// The strategies that benchmarks can replace by baselines.
 struct RouterStrategy
 {
     QueueOrder order = QueueOrder::TieredFair;
     PlacementRule placement = PlacementRule::TwoChoices;
-    bool earlyRefusal = true; ///< refuse at arrival what is predicted to be late
-    bool dropLate = true; ///< obey `late = drop`
-    bool lateBinding = true; ///< send only what the agent has room for
-    bool sendTier = true; ///< let agents and engines order by tier
+    /// Refuse requests on arrival that are predicted to miss their first-token target.
+    bool earlyRefusal = true;
+    bool dropLate = true; ///< honour LatePolicy::Drop
+    bool lateBinding = true; ///< dispatch only what the agent has room for
+    bool sendTier = true; ///< send the tier, so that agents and engines order by it
 };
 
-/// The times and bounds of a router.
+/// The timeouts and limits of a router.
 struct RouterTuning
 {
-    Duration recoveryWait = seconds(5); ///< wait for an agent to come back, then `unknown`
-    Duration repeatableWait = milliseconds(500); ///< the same where the request may be repeated
-    Duration heartbeatLimit = seconds(3); ///< silence after which a session is given up
-    Duration maxOpenTime = seconds(600); ///< bound on a request whose class delivers late
-    Duration upstreamWait = seconds(2); ///< queueing while no agent of the target is up
-    unsigned maxDispatchAttempts = 8; ///< that failed, or found no room
-    unsigned maxPreemptions = 3; ///< of one request; then it keeps its place
-    std::uint64_t creditTokens = 256; ///< tokens an agent may be ahead of the caller
-    std::size_t maxResumeTextBytes = 1U << 20U; ///< bytes of an answer kept for a resume
+    /// Wait for an agent to reconnect before the outcome is reported as unknown.
+    Duration recoveryWait = seconds(5);
+    Duration repeatableWait = milliseconds(500); ///< the same for requests that may be repeated
+    /// Time without any message after which a session is dropped.
+    Duration heartbeatLimit = seconds(3);
+    /// Lifetime of a request whose class delivers late answers.
+    Duration maxOpenTime = seconds(600);
+    /// Time that requests stay queued while no agent of the target is connected.
+    Duration upstreamWait = seconds(2);
+    unsigned maxDispatchAttempts =
+        8; ///< including refusals for lack of room, excluding preemptions
+    unsigned maxPreemptions = 3; ///< of one request; it is not preempted any more after these
+    std::uint64_t creditTokens = 256; ///< tokens that an agent may send ahead of the caller
+    std::size_t maxResumeTextBytes = 1U
+        << 20U; ///< bytes of an answer that are kept for resuming it
 };
 
-/// What a router knows of one agent.
+/// The state of one agent as known to the router.
 struct AgentStatus
 {
     VmName name;
@@ -121,22 +131,21 @@
     bool up = false;
     bool leaving = false;
     Load load;
-    std::size_t localRequests = 0; ///< requests of this router it holds
+    std::size_t localRequests = 0; ///< requests of this router that the agent holds
     std::string circuit;
 };
 
-/// A candidate as `route --explain` shows it.
+/// A candidate as shown by `route --explain`.
 struct RouteCandidate
 {
     AgentStatus agent;
     double cost = 0;
-    std::string exclusionReason; ///< empty: may be chosen
+    std::string exclusionReason; ///< empty: eligible
 };
 
 class RouterCore
 {
 public:
-    /// Builds a core step by step.
     class Builder
     {
     public:
@@ -166,50 +175,51 @@
 
     // ---- callers ----
 
-    /// A request arrived. The final word may come at once.
+    /// Accepts or refuses a request. The final result may be among the actions at once.
     void submitRequest(CallerRequest request, Time now);
-    /// The caller went away; the request is stopped all the way down.
+    /// The caller disconnected. The request is cancelled, also at its agent.
     void callerDisconnected(const RequestId &id, Time now);
-    /// The caller took \p tokens of its answer.
+    /// The caller consumed \p tokens of its answer.
     void callerConsumed(const RequestId &id, std::uint64_t tokens);
 
     // ---- agents ----
 
-    /// A session to an agent stands.
+    /// A session to an agent was established.
     void agentConnected(const Welcome &welcome, Time now);
-    /// A session ended; what it carried is in doubt until the agent is asked.
+    /// The session to an agent was lost. The outcome of its requests is unknown until the agent can
+    /// be queried.
     void agentDisconnected(const VmName &agent, Time now);
-    /// A message came on the agent's present session.
+    /// A message arrived on the current session to the agent.
     void agentMessage(const VmName &agent, const ToRouter &message, Time now);
-    /// A datagram came from the agent.
-    void heartbeat(const Heartbeat &beat, Time now);
-    /// The membership list says whether the agent is leaving.
+    /// A heartbeat datagram of the agent arrived.
+    void heartbeat(const Heartbeat &message, Time now);
+    /// The membership list reports whether the agent is leaving.
     void setAgentLeaving(const VmName &agent, bool leaving, Time now);
-    /// The agent is in no list any more.
+    /// The agent was removed from the membership list.
     void removeAgent(const VmName &agent, Time now);
 
-    // ---- the rest ----
+    // ---- configuration and time ----
 
     void setPolicies(const PoliciesPtr &policies);
-    /// This router's part of the accounts' limits.
+    /// Sets this router's share of the account limits.
     void setAccountLimitShare(double part);
-    /// Refuses new requests from now on; those accepted go on.
+    /// Refuses new requests from now on; accepted requests are completed.
     void stop();
-    /// Does what the passing of time brings; to be called every few milliseconds.
+    /// Handles timers and deadlines. To be called every few milliseconds.
     void tick(Time now);
 
-    /// Takes what is to be done, in order.
+    /// Removes and returns the pending actions, in order.
     std::vector<RouterAction> takeActions();
 
-    /// Requests that have not been told their final word.
+    /// Number of requests without a final result.
     std::size_t openRequests() const { return m_requests.size(); }
     std::size_t queued() const;
-    /// Requests of this router that an agent holds.
+    /// Number of requests of this router that the agent holds.
     std::size_t requestsAt(const VmName &agent) const;
     std::vector<AgentStatus> agents() const;
-    /// Why a request for \p target would go where it goes.
+    /// Explains how a request for \p target would be routed.
     std::vector<RouteCandidate> explain(const TargetName &target, Time now);
-    /// The targets some agent serves.
+    /// The targets that at least one agent serves.
     std::vector<TargetName> targets() const;
 
 private:
@@ -221,33 +231,34 @@
     using RequestPtr = std::unique_ptr<Request>;
 
     // arrivals and the queue (routercore.cpp)
-    ErrorKind refusalAtArrival(const CallerRequest &request, const ClassPolicy &cls, Time now);
-    bool predictedLate(const Target &target, const ClassPolicy &cls, Time now) const;
-    bool tooLateToStart(const Request &request, const Target &target, Time now);
+    ErrorKind checkAdmission(const CallerRequest &request, const ClassPolicy &cls, Time now);
+    bool isPredictedLate(const Target &target, const ClassPolicy &cls, Time now) const;
+    bool isTooLateToStart(const Request &request, const Target &target, Time now);
     void enqueue(Request &request, Time now);
-    void pump(Target &target, Time now);
-    void pumpAll(Time now);
-    bool placeNext(Target &target, Time now);
-    void place(Request &request, Agent &agent);
+    void dispatchQueued(Target &target, Time now);
+    void dispatchAllQueued(Time now);
+    bool dispatchNext(Target &target, Time now);
+    void dispatch(Request &request, Agent &agent);
     std::vector<Candidate> candidates(const Target &target, Time now, std::vector<Agent *> *agents);
-    Candidate candidateOf(const Agent &agent, double medianGap) const;
-    static Agent *agentOfKey(const CallerRequest &ask, const std::vector<Agent *> &agents);
+    Candidate makeCandidate(const Agent &agent, double medianTokenGap) const;
+    static Agent *agentForKey(const CallerRequest &callerRequest,
+                              const std::vector<Agent *> &agents);
     std::string exclusionReason(Agent &agent, Time now) const;
     bool hasRoom(const Agent &agent, std::optional<Tier> tier) const;
-    double medianGap(const Target &target) const;
-    void expire(Time now);
-    void release(Time now);
+    double medianTokenGap(const Target &target) const;
+    void expireDeadlines(Time now);
+    void requeueDelayed(Time now);
     void refuseWithoutUpstream(Time now);
-    bool upstreamAway(const Target &target, Time now) const;
-    Target &targetOf(const TargetName &name);
+    bool isUpstreamUnavailable(const Target &target, Time now) const;
+    Target &findOrAddTarget(const TargetName &name);
     void updateGauges();
 
     // agents (routercore_agents.cpp)
-    void recover(Agent &agent, Time now);
-    void doubt(Request &request, Time until);
-    void giveUpWaiting(Time now);
-    void watchHeartbeats(Time now);
-    void takeLoad(Agent &agent, const Load &load);
+    void recoverAttempts(Agent &agent, Time now);
+    void awaitRecovery(Request &request, Time until);
+    void expireRecoveries(Time now);
+    void checkHeartbeats(Time now);
+    void updateLoad(Agent &agent, const Load &load);
 
     // answers (routercore_answers.cpp)
     void handle(Agent &agent, const Refused &message, Time now);
@@ -259,23 +270,23 @@
     void handle(Agent &agent, const UpstreamCrash &message, Time now);
     void handle(Agent &agent, const Welcome &message, Time now);
     void handle(Agent &agent, const Challenge &message, Time now);
-    Request *current(const Agent &agent, const RequestId &id, Attempt attempt);
-    void finishWhole(Request &request, const AttemptResult &message, Time now);
+    Request *findCurrentRequest(const Agent &agent, const RequestId &id, Attempt attempt);
+    void completeRequest(Request &request, const AttemptResult &message, Time now);
     void attemptFailed(Request &request, ErrorKind kind, Outcome outcome, const std::string &reason,
                        Time now);
     ErrorKind retryRefusal(Request &request, ErrorKind kind, Outcome outcome, Time now);
-    void putBack(Request &request, ErrorKind kind, Time now);
+    void requeue(Request &request, ErrorKind kind, Time now);
     void cancelAtAgent(Request &request);
-    void unbind(Request &request);
+    void unassign(Request &request);
     void finish(Request &request, AnswerResult end, Time now);
     bool apply(Request &request, RequestEvent event);
     void refuse(const RequestId &id, ErrorKind kind, std::string reason);
-    bool isQuarantined(const CallerRequest &ask, Time now) const;
+    bool isQuarantined(const CallerRequest &callerRequest, Time now) const;
 
     Agent *findAgent(const VmName &name);
     Request *findRequest(const RequestId &id);
-    Duration drawPause(unsigned retry);
-    LengthEstimate &lengthOf(const ClassName &cls, const AccountName &account);
+    Duration drawRetryDelay(unsigned retry);
+    LengthEstimate &lengthEstimate(const ClassName &cls, const AccountName &account);
 
     ZoneName m_zone;
     Incarnation m_incarnation;
@@ -286,18 +297,22 @@
     std::unique_ptr<Counters> m_ownCounters;
     PoliciesPtr m_policies;
     AccountLimiter m_limiter;
-    CrashTracker m_crashes; ///< by what all agents tell
+    CrashTracker m_crashes; ///< crashes reported by all agents
     bool m_stopping = false;
 
     std::unordered_map<RequestId, RequestPtr> m_requests;
     std::map<VmName, std::unique_ptr<Agent>> m_agents;
     std::map<TargetName, std::unique_ptr<Target>> m_targets;
     std::map<ClassName, RetryBudget> m_budgets;
-    std::map<std::pair<ClassName, AccountName>, LengthEstimate> m_lengths; ///< for fair charging
-    std::map<ClassName, LengthEstimate> m_medianLengths; ///< for what can still be in time
-    std::set<std::pair<Time, RequestId>> m_deadlines; ///< next look at each request by time
-    std::set<std::pair<Time, RequestId>> m_doubts; ///< ends of waits for agents, by time
-    std::set<std::pair<Time, RequestId>> m_delayed; ///< retries that wait out their pause
+    /// Estimated answer lengths, to charge accounts fairly at dispatch.
+    std::map<std::pair<ClassName, AccountName>, LengthEstimate> m_lengthEstimates;
+    /// Median answer lengths, to detect requests that cannot meet their deadline any more.
+    std::map<ClassName, LengthEstimate> m_medianLengthEstimates;
+    std::set<std::pair<Time, RequestId>> m_deadlines; ///< next deadline check of each request
+    /// Ends of the waits for agents to reconnect.
+    std::set<std::pair<Time, RequestId>> m_recoveryDeadlines;
+    /// Retries that wait for their backoff to pass.
+    std::set<std::pair<Time, RequestId>> m_delayedRetries;
     std::vector<RouterAction> m_actions;
 };
 
--- a/src/libreachlead/routercore.cpp
+++ b/src/libreachlead/routercore.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// Bytes of a prompt counted as one token where nothing better is known.
+/// Assumed bytes per token of a prompt, as the tokenizer of the target is not known here.
 constexpr double bytesPerToken = 4.0;
 
-/// How many length estimates are kept before the table starts again.
-constexpr std::size_t mostLengths = 65536;
+/// The table of length estimates is cleared when it reaches this size.
+constexpr std::size_t maxLengthEstimates = 65536;
 
 } // namespace
 
-// ---- building ---------------------------------------------------------------------------
+// ---- construction -----------------------------------------------------------------------
 
 RouterCore::Builder &RouterCore::Builder::zone(ZoneName z)
 {
@@ -96,7 +96,7 @@
     return it == m_agents.end() ? nullptr : it->second.get();
 }
 
-RouterCore::Target &RouterCore::targetOf(const TargetName &name)
+RouterCore::Target &RouterCore::findOrAddTarget(const TargetName &name)
 {
     auto &target = m_targets[name];
     if (!target) {
@@ -108,14 +108,14 @@
     return *target;
 }
 
-LengthEstimate &RouterCore::lengthOf(const ClassName &cls, const AccountName &account)
+LengthEstimate &RouterCore::lengthEstimate(const ClassName &cls, const AccountName &account)
 {
-    if (m_lengths.size() >= mostLengths)
-        m_lengths.clear();
-    return m_lengths[{cls, account}];
+    if (m_lengthEstimates.size() >= maxLengthEstimates)
+        m_lengthEstimates.clear();
+    return m_lengthEstimates[{cls, account}];
 }
 
-Duration RouterCore::drawPause(unsigned retry)
+Duration RouterCore::drawRetryDelay(unsigned retry)
 {
     std::uniform_int_distribution<Duration::rep> spread(0, maxRetryBackoff(retry).count());
     return Duration(spread(m_random));
@@ -123,7 +123,7 @@
 
 bool RouterCore::apply(Request &request, RequestEvent event)
 {
-    if (request.life.apply(event))
+    if (request.lifecycle.apply(event))
         return true;
     m_counters->add(Counter::ForbiddenTransitions);
     return false;
@@ -137,7 +137,7 @@
 std::size_t RouterCore::queued() const
 {
     return std::accumulate(
-        m_targets.begin(), m_targets.end(), m_delayed.size(),
+        m_targets.begin(), m_targets.end(), m_delayedRetries.size(),
         [](std::size_t sum, const auto &it) { return sum + it.second->queue->size(); });
 }
 
@@ -175,7 +175,7 @@
         refuse(id, ErrorKind::ClassUnknown, request.cls.text);
         return;
     }
-    const ErrorKind kind = refusalAtArrival(request, *cls, now);
+    const ErrorKind kind = checkAdmission(request, *cls, now);
     if (kind != ErrorKind::None) {
         refuse(id, kind, request.target.text);
         return;
@@ -184,27 +184,26 @@
     m_budgets[cls->name].recordFirstAttempt();
     auto record = std::make_unique<Request>();
     record->cls = *cls;
-    record->arrived = now;
+    record->arrivedAt = now;
     record->deadline = now + cls->deadline;
     record->promptTokens = static_cast<double>(request.call.body.size()) / bytesPerToken;
-    record->cost = record->promptTokens + lengthOf(cls->name, request.account).value();
-    record->ask = std::move(request);
-    Request &kept = *record;
+    record->cost = record->promptTokens + lengthEstimate(cls->name, request.account).value();
+    record->callerRequest = std::move(request);
+    Request &stored = *record;
     m_requests.emplace(id, std::move(record));
-    enqueue(kept, now);
-    if (const auto it = m_targets.find(kept.ask.target); it != m_targets.end())
-        pump(*it->second, now);
+    enqueue(stored, now);
+    if (const auto it = m_targets.find(stored.callerRequest.target); it != m_targets.end())
+        dispatchQueued(*it->second, now);
 }
 
-ErrorKind RouterCore::refusalAtArrival(const CallerRequest &request, const ClassPolicy &cls,
-                                       Time now)
+ErrorKind RouterCore::checkAdmission(const CallerRequest &request, const ClassPolicy &cls, Time now)
 {
     if (m_stopping)
         return ErrorKind::RouterStopping;
     if (isQuarantined(request, now))
         return ErrorKind::RequestQuarantined;
     const auto it = m_targets.find(request.target);
-    if (it == m_targets.end() || upstreamAway(*it->second, now))
+    if (it == m_targets.end() || isUpstreamUnavailable(*it->second, now))
         return ErrorKind::NoUpstream;
     Target &target = *it->second;
     const AccountPolicy *account = m_policies->findAccount(request.account);
@@ -214,24 +213,26 @@
         if (static_cast<double>(waiting) >= std::max(1.0, places))
             return ErrorKind::AccountQueueShare;
     }
-    if (m_strategy.earlyRefusal && predictedLate(target, cls, now))
+    if (m_strategy.earlyRefusal && isPredictedLate(target, cls, now))
         return ErrorKind::PredictedLate;
     return m_limiter.acquire(request.account, now);
 }
 
-/// Upstreams ended under requests of the same content, so that it is sent to none.
-bool RouterCore::isQuarantined(const CallerRequest &ask, Time now) const
+/// Returns whether requests with the same content have crashed upstreams, so that it must not be
+/// sent to any.
+bool RouterCore::isQuarantined(const CallerRequest &callerRequest, Time now) const
 {
     if (m_crashes.isEmpty())
         return false;
-    const RequestContent content = requestContent(ask.account, ask.call);
+    const RequestContent content = requestContent(callerRequest.account, callerRequest.call);
     return m_crashes.mayContain(computeFastHash(content))
         && m_crashes.remainingQuarantine(computeDigest(content), now).has_value();
 }
 
-/// The wait is the number of requests to be served before this one, times the time between
-/// dispatches. The floors of the other classes are taken out of the rate beforehand.
-bool RouterCore::predictedLate(const Target &target, const ClassPolicy &cls, Time now) const
+/// The predicted wait is the number of requests to be served first, times the time between
+/// dispatches. The service reserved for the floors of the other classes is subtracted from the rate
+/// beforehand.
+bool RouterCore::isPredictedLate(const Target &target, const ClassPolicy &cls, Time now) const
 {
     if (cls.late != LatePolicy::Drop || !m_strategy.dropLate || !target.backlogged)
         return false;
@@ -242,22 +243,25 @@
                         });
     const double rate = 1.0 - std::min(0.9, floors);
     const auto ahead = static_cast<double>(target.queue->sizeAtOrAbove(cls.tier));
-    const double overdue = std::max(0.0, toSeconds(now - target.poppedAt) - target.popSeconds);
-    const double wait = ahead * target.popSeconds / rate + overdue;
+    const double overdue =
+        std::max(0.0, toSeconds(now - target.lastDispatchAt) - target.dispatchIntervalSeconds);
+    const double wait = ahead * target.dispatchIntervalSeconds / rate + overdue;
     return wait > toSeconds(cls.firstTokenTarget);
 }
 
-/// True when the answer of a class that drops late ones would most likely not be whole by its
-/// deadline: engine time spent on it would be wasted, and its place serves one that can be.
-bool RouterCore::tooLateToStart(const Request &request, const Target &target, Time now)
+/// Returns whether the answer, of a class that drops late answers, would most likely miss its
+/// deadline. Engine time spent on it would be wasted; its place goes to a request that can still
+/// meet its deadline.
+bool RouterCore::isTooLateToStart(const Request &request, const Target &target, Time now)
 {
-    if (request.cls.late != LatePolicy::Drop || !m_strategy.dropLate || !request.ask.isModel)
+    if (request.cls.late != LatePolicy::Drop || !m_strategy.dropLate
+        || !request.callerRequest.isModel)
         return false;
-    const auto it = m_medianLengths.find(request.cls.name);
-    if (it == m_medianLengths.end() || !it->second.hasEnoughSamples())
+    const auto it = m_medianLengthEstimates.find(request.cls.name);
+    if (it == m_medianLengthEstimates.end() || !it->second.hasEnoughSamples())
         return false;
     const double left = std::max(1.0, it->second.value() - static_cast<double>(request.tokens));
-    const double run = left * medianGap(target) / 1e6;
+    const double run = left * medianTokenGap(target) / 1e6;
     return now + fromSeconds(run) > request.deadline;
 }
 
@@ -270,18 +274,20 @@
 
 void RouterCore::enqueue(Request &request, Time now)
 {
-    Target &target = targetOf(request.ask.target);
-    const QueuedRequest waiting{request.ask.id, request.cls.name, request.ask.account,
-                                request.deadline, request.cost};
-    request.lookAt = request.deadline;
-    m_deadlines.emplace(request.lookAt, request.ask.id);
+    Target &target = findOrAddTarget(request.callerRequest.target);
+    const QueuedRequest waiting{request.callerRequest.id, request.cls.name,
+                                request.callerRequest.account, request.deadline, request.cost};
+    request.nextCheckAt = request.deadline;
+    m_deadlines.emplace(request.nextCheckAt, request.callerRequest.id);
     const std::optional<ShedRequest> shed = target.queue->push(waiting);
     if (!shed)
         return;
     if (Request *victim = findRequest(shed->id)) {
         const bool partial = victim->tokens > 0;
-        finish(*victim, {shed->kind, partial ? Outcome::Ran : Outcome::NotRun, "queue bound", 0},
-               now);
+        finish(
+            *victim,
+            {shed->kind, partial ? Outcome::Ran : Outcome::NotRun, "shed from the full queue", 0},
+            now);
     }
 }
 
@@ -289,45 +295,46 @@
 
 void RouterCore::tick(Time now)
 {
-    release(now);
-    expire(now);
+    requeueDelayed(now);
+    expireDeadlines(now);
     refuseWithoutUpstream(now);
-    giveUpWaiting(now);
-    watchHeartbeats(now);
+    expireRecoveries(now);
+    checkHeartbeats(now);
     m_crashes.dropExpired(now);
-    pumpAll(now);
+    dispatchAllQueued(now);
     updateGauges();
 }
 
-/// Puts retries whose pause is over back into their queue.
-void RouterCore::release(Time now)
+/// Returns retries to their queue once their backoff has passed.
+void RouterCore::requeueDelayed(Time now)
 {
-    while (!m_delayed.empty() && m_delayed.begin()->first <= now) {
-        const RequestId id = m_delayed.begin()->second;
-        m_delayed.erase(m_delayed.begin());
+    while (!m_delayedRetries.empty() && m_delayedRetries.begin()->first <= now) {
+        const RequestId id = m_delayedRetries.begin()->second;
+        m_delayedRetries.erase(m_delayedRetries.begin());
         if (Request *request = findRequest(id))
             enqueue(*request, now);
     }
 }
 
-/// True when no agent of the target has been up for a while.
-bool RouterCore::upstreamAway(const Target &target, Time now) const
+/// Returns whether the target has no agents, or none has been connected for longer than
+/// RouterTuning::upstreamWait.
+bool RouterCore::isUpstreamUnavailable(const Target &target, Time now) const
 {
     const bool anyUp = std::ranges::any_of(
         target.agents, [&](const VmName &name) { return m_agents.at(name)->up; });
-    return target.agents.empty() || (!anyUp && now - target.upAt > m_tuning.upstreamWait);
+    return target.agents.empty() || (!anyUp && now - target.lastAgentUpAt > m_tuning.upstreamWait);
 }
 
-/// Gives up on what waits for a target that nobody serves: the caller is told at once, with when
-/// to come back.
+/// Refuses the requests queued for a target that no agent serves. Their callers are informed at
+/// once, with the time after which to retry.
 void RouterCore::refuseWithoutUpstream(Time now)
 {
     for (auto &[name, target] : m_targets) {
         const bool anyUp = std::ranges::any_of(
             target->agents, [&](const VmName &agent) { return m_agents.at(agent)->up; });
         if (anyUp)
-            target->upAt = now;
-        if (!upstreamAway(*target, now))
+            target->lastAgentUpAt = now;
+        if (!isUpstreamUnavailable(*target, now))
             continue;
         while (const auto next = target->queue->pop()) {
             if (Request *request = findRequest(next->id))
@@ -339,8 +346,9 @@
     }
 }
 
-/// Ends what can no longer be on time, where the class wants that.
-void RouterCore::expire(Time now)
+/// Ends requests that exceeded their deadline, if their class drops late answers, and those that
+/// exceeded RouterTuning::maxOpenTime.
+void RouterCore::expireDeadlines(Time now)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         const RequestId id = m_deadlines.begin()->second;
@@ -348,15 +356,15 @@
         Request *request = findRequest(id);
         if (!request)
             continue;
-        const bool drops = request->cls.late == LatePolicy::Drop && m_strategy.dropLate;
-        const Time longest = request->arrived + m_tuning.maxOpenTime;
-        if (!drops && now < longest) {
-            request->lookAt = longest;
-            m_deadlines.emplace(longest, id);
+        const bool isDropped = request->cls.late == LatePolicy::Drop && m_strategy.dropLate;
+        const Time openLimit = request->arrivedAt + m_tuning.maxOpenTime;
+        if (!isDropped && now < openLimit) {
+            request->nextCheckAt = openLimit;
+            m_deadlines.emplace(openLimit, id);
             continue;
         }
-        // What is known of an attempt that is out decides the outcome, not the deadline.
-        switch (request->life.state()) {
+        // The outcome depends on what is known about the attempt in progress, not on the deadline.
+        switch (request->lifecycle.state()) {
         case RequestState::Queued:
             finish(*request,
                    {ErrorKind::DeadlineQueued, request->tokens > 0 ? Outcome::Ran : Outcome::NotRun,
@@ -364,12 +372,12 @@
                    now);
             break;
         case RequestState::Running:
-            // A stream that runs has cost the engine something; whether a call had its effect is
+            // A running stream has already used engine time. Whether a plain call took effect is
             // not known before its answer.
             cancelAtAgent(*request);
             finish(*request,
                    {ErrorKind::DeadlineRunning,
-                    request->ask.isModel ? Outcome::Ran : Outcome::Unknown, "", 0},
+                    request->callerRequest.isModel ? Outcome::Ran : Outcome::Unknown, "", 0},
                    now);
             break;
         case RequestState::Sent:
@@ -399,15 +407,15 @@
     const auto it = m_targets.find(target);
     if (it == m_targets.end())
         return views;
-    const double median = medianGap(*it->second);
+    const double median = medianTokenGap(*it->second);
     for (const AgentStatus &status : agents()) {
         if (status.target != target)
             continue;
         Agent &agent = *m_agents.at(status.name);
         std::string reason = exclusionReason(agent, now);
         if (reason.empty() && !hasRoom(agent, std::nullopt))
-            reason = "no room";
-        views.push_back({status, placementCost(candidateOf(agent, median)), std::move(reason)});
+            reason = "at capacity";
+        views.push_back({status, placementCost(makeCandidate(agent, median)), std::move(reason)});
     }
     return views;
 }
--- a/src/libreachlead/routercore_agents.cpp
+++ b/src/libreachlead/routercore_agents.cpp
@@ -18,26 +18,26 @@
     if (agent->target != welcome.target) {
         if (const auto old = m_targets.find(agent->target); old != m_targets.end())
             std::erase(old->second->agents, agent->name);
-        targetOf(welcome.target).agents.push_back(agent->name);
+        findOrAddTarget(welcome.target).agents.push_back(agent->name);
     }
     if (agent->incarnation != welcome.incarnation) {
-        agent->beatSequence = 0;
+        agent->heartbeatSequence = 0;
         agent->load = Load();
-        agent->leavingByList = false;
+        agent->isLeavingInMembership = false;
     }
     agent->zone = welcome.zone;
     agent->target = welcome.target;
     agent->incarnation = welcome.incarnation;
     agent->up = true;
-    agent->heardAt = now;
-    targetOf(agent->target).upAt = now;
+    agent->lastReceived = now;
+    findOrAddTarget(agent->target).lastAgentUpAt = now;
     m_counters->add(Counter::SessionsOpened);
     m_counters->adjust(Gauge::Sessions, 1);
-    takeLoad(*agent, welcome.load);
-    if (agent->leavingByList)
+    updateLoad(*agent, welcome.load);
+    if (agent->isLeavingInMembership)
         m_actions.emplace_back(SendToAgent{agent->name, Leaving{true}});
-    recover(*agent, now);
-    pump(targetOf(agent->target), now);
+    recoverAttempts(*agent, now);
+    dispatchQueued(findOrAddTarget(agent->target), now);
 }
 
 void RouterCore::agentDisconnected(const VmName &name, Time now)
@@ -48,92 +48,93 @@
     agent->up = false;
     m_counters->add(Counter::SessionsLost);
     m_counters->adjust(Gauge::Sessions, -1);
-    for (const RequestId &id : agent->mine) {
+    for (const RequestId &id : agent->localRequests) {
         Request *request = findRequest(id);
         if (!request || !apply(*request, RequestEvent::SessionLost))
             continue;
-        const bool mayRepeat = request->ask.repeatable;
-        doubt(*request, now + (mayRepeat ? m_tuning.repeatableWait : m_tuning.recoveryWait));
+        const bool mayRepeat = request->callerRequest.repeatable;
+        awaitRecovery(*request,
+                      now + (mayRepeat ? m_tuning.repeatableWait : m_tuning.recoveryWait));
     }
 }
 
-/// Asks the agent what became of each attempt the older session carried. The agent destroyed that
-/// session before it answered Hello, so its word is final. An agent of another incarnation cannot
-/// know what its predecessor ran, and is not asked.
-void RouterCore::recover(Agent &agent, Time now)
+/// Queries the agent about each attempt of the earlier session. The agent closed that session
+/// before it replied to Hello, so its reply is final. An agent of another incarnation cannot know
+/// what its predecessor ran, and is not queried.
+void RouterCore::recoverAttempts(Agent &agent, Time now)
 {
-    const std::vector<RequestId> doubtful(agent.mine.begin(), agent.mine.end());
-    for (const RequestId &id : doubtful) {
+    const std::vector<RequestId> unresolved(agent.localRequests.begin(), agent.localRequests.end());
+    for (const RequestId &id : unresolved) {
         Request *request = findRequest(id);
         if (!request) {
-            agent.mine.erase(id);
+            agent.localRequests.erase(id);
             continue;
         }
-        if (request->life.state() != RequestState::Recovering)
+        if (request->lifecycle.state() != RequestState::Recovering)
             continue;
-        if (request->boundTo != agent.incarnation) {
+        if (request->agentIncarnation != agent.incarnation) {
             attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "agent restarted", now);
             continue;
         }
         m_counters->add(Counter::Queries);
-        doubt(*request, now + m_tuning.recoveryWait);
-        const std::uint64_t unread = request->tokens - request->taken;
+        awaitRecovery(*request, now + m_tuning.recoveryWait);
+        const std::uint64_t unconsumed = request->tokens - request->consumedTokens;
         const std::uint64_t credit =
-            m_tuning.creditTokens > unread ? m_tuning.creditTokens - unread : 0;
+            m_tuning.creditTokens > unconsumed ? m_tuning.creditTokens - unconsumed : 0;
         m_actions.emplace_back(
             SendToAgent{agent.name, AttemptQuery{id, request->attempt, request->tokens, credit}});
     }
 }
 
-/// Ends the wait for agents that did not come back in time.
-void RouterCore::giveUpWaiting(Time now)
+/// Fails the attempts whose agent did not reconnect in time.
+void RouterCore::expireRecoveries(Time now)
 {
-    while (!m_doubts.empty() && m_doubts.begin()->first <= now) {
-        const auto [until, id] = *m_doubts.begin();
-        m_doubts.erase(m_doubts.begin());
+    while (!m_recoveryDeadlines.empty() && m_recoveryDeadlines.begin()->first <= now) {
+        const auto [until, id] = *m_recoveryDeadlines.begin();
+        m_recoveryDeadlines.erase(m_recoveryDeadlines.begin());
         Request *request = findRequest(id);
-        if (!request || request->life.state() != RequestState::Recovering
-            || request->doubtUntil != until)
-            continue; // settled since, or waiting for longer
-        attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "agent did not return",
-                      now);
+        if (!request || request->lifecycle.state() != RequestState::Recovering
+            || request->recoveryDeadline != until)
+            continue; // resolved in the meantime, or its wait was extended
+        attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown,
+                      "agent did not reconnect in time", now);
     }
 }
 
-void RouterCore::doubt(Request &request, Time until)
+void RouterCore::awaitRecovery(Request &request, Time until)
 {
-    request.doubtUntil = until;
-    m_doubts.emplace(until, request.ask.id);
+    request.recoveryDeadline = until;
+    m_recoveryDeadlines.emplace(until, request.callerRequest.id);
 }
 
-void RouterCore::heartbeat(const Heartbeat &beat, Time now)
+void RouterCore::heartbeat(const Heartbeat &message, Time now)
 {
-    Agent *agent = findAgent(beat.vm);
-    if (!agent || !agent->up || agent->incarnation != beat.incarnation)
+    Agent *agent = findAgent(message.vm);
+    if (!agent || !agent->up || agent->incarnation != message.incarnation)
         return;
-    if (beat.sequence <= agent->beatSequence)
-        return; // doubled or overtaken
-    agent->beatSequence = beat.sequence;
-    agent->heardAt = now;
+    if (message.sequence <= agent->heartbeatSequence)
+        return; // duplicated or reordered
+    agent->heartbeatSequence = message.sequence;
+    agent->lastReceived = now;
     m_counters->add(Counter::HeartbeatsReceived);
-    takeLoad(*agent, beat.load);
-    pump(targetOf(agent->target), now);
+    updateLoad(*agent, message.load);
+    dispatchQueued(findOrAddTarget(agent->target), now);
 }
 
-void RouterCore::watchHeartbeats(Time now)
+void RouterCore::checkHeartbeats(Time now)
 {
     for (auto &[name, agent] : m_agents) {
-        if (!agent->up || now - agent->heardAt <= m_tuning.heartbeatLimit)
+        if (!agent->up || now - agent->lastReceived <= m_tuning.heartbeatLimit)
             continue;
         m_actions.emplace_back(DropSession{name, "no heartbeat"});
         agentDisconnected(name, now);
     }
 }
 
-void RouterCore::takeLoad(Agent &agent, const Load &load)
+void RouterCore::updateLoad(Agent &agent, const Load &load)
 {
     if (load.sequence < agent.load.sequence)
-        return; // a datagram overtaken by a later report
+        return; // a datagram that arrived after a later report
     agent.load = load;
     agent.full = false;
 }
@@ -141,12 +142,12 @@
 void RouterCore::setAgentLeaving(const VmName &name, bool leaving, Time now)
 {
     Agent *agent = findAgent(name);
-    if (!agent || agent->leavingByList == leaving)
+    if (!agent || agent->isLeavingInMembership == leaving)
         return;
-    agent->leavingByList = leaving;
+    agent->isLeavingInMembership = leaving;
     if (agent->up)
         m_actions.emplace_back(SendToAgent{name, Leaving{leaving}});
-    pump(targetOf(agent->target), now);
+    dispatchQueued(findOrAddTarget(agent->target), now);
 }
 
 void RouterCore::removeAgent(const VmName &name, Time now)
@@ -155,20 +156,20 @@
     if (!agent)
         return;
     agentDisconnected(name, now);
-    const std::vector<RequestId> held(agent->mine.begin(), agent->mine.end());
+    const std::vector<RequestId> held(agent->localRequests.begin(), agent->localRequests.end());
     for (const RequestId &id : held) {
         if (Request *request = findRequest(id))
-            attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "agent left the list",
-                          now);
+            attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown,
+                          "agent was removed from the membership", now);
     }
-    std::erase(targetOf(agent->target).agents, name);
+    std::erase(findOrAddTarget(agent->target).agents, name);
     m_agents.erase(name);
 }
 
 std::size_t RouterCore::requestsAt(const VmName &name) const
 {
     const auto it = m_agents.find(name);
-    return it == m_agents.end() ? 0 : it->second->mine.size();
+    return it == m_agents.end() ? 0 : it->second->localRequests.size();
 }
 
 std::vector<AgentStatus> RouterCore::agents() const
@@ -177,7 +178,7 @@
     list.reserve(m_agents.size());
     for (const auto &[name, agent] : m_agents) {
         list.push_back({name, agent->zone, agent->target, agent->up, agent->leaving(), agent->load,
-                        agent->mine.size(), agent->circuit.state()});
+                        agent->localRequests.size(), agent->circuit.state()});
     }
     return list;
 }
--- a/src/libreachlead/routercore_answers.cpp
+++ b/src/libreachlead/routercore_answers.cpp
@@ -9,9 +9,11 @@
 
 namespace {
 
-/// A busy or leaving agent did no work for the request, and what was made before a preemption is
-/// kept: placing it again multiplies nothing, and each is bounded by a number of its own.
-bool costsNothing(ErrorKind kind)
+/// Returns whether a retry is free of the retry budget. A busy or leaving agent did no work for the
+/// request, and the output before a preemption is kept, so that another attempt does not multiply
+/// the load. The refusals count towards RouterTuning::maxDispatchAttempts, and preemptions are
+/// bounded by RouterTuning::maxPreemptions.
+bool isFreeRetry(ErrorKind kind)
 {
     return kind == ErrorKind::AgentBusy || kind == ErrorKind::AgentLeaving
         || kind == ErrorKind::Preempted;
@@ -24,12 +26,13 @@
     Agent *agent = findAgent(name);
     if (!agent || !agent->up)
         return;
-    agent->heardAt = now;
+    agent->lastReceived = now;
     std::visit([&](const auto &m) { handle(*agent, m, now); }, message);
 }
 
-/// The request a frame speaks of, when the frame is of its present attempt at this agent.
-RouterCore::Request *RouterCore::current(const Agent &agent, const RequestId &id, Attempt attempt)
+/// The request that a frame refers to, if the frame belongs to its current attempt at this agent.
+RouterCore::Request *RouterCore::findCurrentRequest(const Agent &agent, const RequestId &id,
+                                                    Attempt attempt)
 {
     Request *request = findRequest(id);
     if (request && request->attempt == attempt && request->agent == agent.name)
@@ -40,23 +43,24 @@
 
 void RouterCore::handle(Agent & /*agent*/, const Welcome & /*message*/, Time /*now*/)
 {
-    m_counters->add(Counter::HostileFrames); // Welcome opens a session and never comes again
+    m_counters->add(
+        Counter::HostileFrames); // Welcome is only valid as the first frame of a session
 }
 
 void RouterCore::handle(Agent & /*agent*/, const Challenge & /*message*/, Time /*now*/)
 {
-    m_counters->add(Counter::HostileFrames); // the same holds for Challenge
+    m_counters->add(Counter::HostileFrames); // Challenge is only valid before Welcome
 }
 
 void RouterCore::handle(Agent &agent, const LoadReport &message, Time now)
 {
-    takeLoad(agent, message.load);
-    pump(targetOf(agent.target), now);
+    updateLoad(agent, message.load);
+    dispatchQueued(findOrAddTarget(agent.target), now);
 }
 
 void RouterCore::handle(Agent &agent, const Refused &message, Time now)
 {
-    Request *request = current(agent, message.id, message.attempt);
+    Request *request = findCurrentRequest(agent, message.id, message.attempt);
     if (!request)
         return;
     if (message.kind == ErrorKind::AgentBusy)
@@ -64,23 +68,23 @@
     if (message.kind == ErrorKind::AgentLeaving)
         agent.load.leaving = true;
     attemptFailed(*request, message.kind, Outcome::NotRun, message.reason, now);
-    pump(targetOf(agent.target), now);
+    dispatchQueued(findOrAddTarget(agent.target), now);
 }
 
 void RouterCore::handle(Agent &agent, const Started &message, Time /*now*/)
 {
-    if (Request *request = current(agent, message.id, message.attempt))
+    if (Request *request = findCurrentRequest(agent, message.id, message.attempt))
         apply(*request, RequestEvent::ExecutionStarted);
 }
 
 void RouterCore::handle(Agent &agent, const Chunk &message, Time now)
 {
-    Request *request = current(agent, message.id, message.attempt);
+    Request *request = findCurrentRequest(agent, message.id, message.attempt);
     if (!request)
         return;
     if (message.from != request->tokens) {
-        // A frame out of its place must never reach the caller: the answer would have a hole or
-        // a repetition.
+        // Out-of-order chunks must never reach the caller: the answer would have a gap or a
+        // repetition.
         m_counters->add(Counter::StaleFrames);
         if (message.from > request->tokens) {
             cancelAtAgent(*request);
@@ -89,7 +93,7 @@
         }
         return;
     }
-    if (request->life.state() == RequestState::Sent
+    if (request->lifecycle.state() == RequestState::Sent
         && !apply(*request, RequestEvent::ExecutionStarted))
         return;
     request->tokens += message.count;
@@ -99,28 +103,28 @@
         request->text += message.text;
     else
         request->textComplete = false;
-    m_limiter.chargeTokens(request->ask.account, static_cast<double>(message.count), now);
+    m_limiter.chargeTokens(request->callerRequest.account, static_cast<double>(message.count), now);
     m_actions.emplace_back(SendToCaller{message.id, AnswerText{message.text, message.count}});
 }
 
 void RouterCore::handle(Agent &agent, const AttemptResult &message, Time now)
 {
-    Request *request = current(agent, message.id, message.attempt);
+    Request *request = findCurrentRequest(agent, message.id, message.attempt);
     if (!request)
         return;
     if (message.kind == ErrorKind::None) {
         agent.circuit.succeeded();
-        finishWhole(*request, message, now);
+        completeRequest(*request, message, now);
     } else {
         attemptFailed(*request, message.kind, message.outcome, message.reason, now);
     }
-    pump(targetOf(agent.target), now);
+    dispatchQueued(findOrAddTarget(agent.target), now);
 }
 
 void RouterCore::handle(Agent &agent, const AttemptQueryReply &message, Time now)
 {
-    Request *request = current(agent, message.id, message.attempt);
-    if (!request || request->life.state() != RequestState::Recovering)
+    Request *request = findCurrentRequest(agent, message.id, message.attempt);
+    if (!request || request->lifecycle.state() != RequestState::Recovering)
         return;
     switch (message.state) {
     case AttemptState::Held:
@@ -128,41 +132,43 @@
         apply(*request, RequestEvent::Recovered);
         break;
     case AttemptState::NeverReceived:
-        attemptFailed(*request, ErrorKind::AgentLost, Outcome::NotRun, "never reached the agent",
-                      now);
+        attemptFailed(*request, ErrorKind::AgentLost, Outcome::NotRun,
+                      "the attempt never reached the agent", now);
         break;
     case AttemptState::Evicted:
-        attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown, "no record at the agent",
-                      now);
+        attemptFailed(*request, ErrorKind::AgentLost, Outcome::Unknown,
+                      "the agent has no record of the attempt", now);
         break;
     }
 }
 
 void RouterCore::handle(Agent &agent, const UpstreamCrash &message, Time now)
 {
-    const UpstreamId life(agent.name.text, agent.incarnation.value + message.upstreamIncarnation);
-    if (m_crashes.recordCrash(message.request, upstreamHash(life), now))
+    const UpstreamId upstream(agent.name.text,
+                              agent.incarnation.value + message.upstreamIncarnation);
+    if (m_crashes.recordCrash(message.request, upstreamHash(upstream), now))
         m_counters->add(Counter::QuarantinesStarted);
 }
 
-void RouterCore::finishWhole(Request &request, const AttemptResult &message, Time now)
+void RouterCore::completeRequest(Request &request, const AttemptResult &message, Time now)
 {
-    if (request.ask.isModel) {
+    if (request.callerRequest.isModel) {
         const std::uint64_t hash = XXH64_digest(&request.hashState);
         if (message.tokens != request.attemptTokens || message.hash != hash) {
-            attemptFailed(request, ErrorKind::AnswerCorrupt, Outcome::Ran, "hash or count differs",
-                          now);
+            attemptFailed(request, ErrorKind::AnswerCorrupt, Outcome::Ran,
+                          "hash or token count of the answer differs", now);
             return;
         }
         const auto length = static_cast<double>(request.tokens);
-        lengthOf(request.cls.name, request.ask.account).learn(length);
-        constexpr double half = 0.5;
-        m_medianLengths.try_emplace(request.cls.name, half).first->second.learn(length);
+        lengthEstimate(request.cls.name, request.callerRequest.account).learn(length);
+        constexpr double median = 0.5;
+        m_medianLengthEstimates.try_emplace(request.cls.name, median).first->second.learn(length);
     } else {
-        ServiceResponse whole{message.status, message.headers, message.body};
-        m_actions.emplace_back(SendToCaller{request.ask.id, std::move(whole)});
+        ServiceResponse response{message.status, message.headers, message.body};
+        m_actions.emplace_back(SendToCaller{request.callerRequest.id, std::move(response)});
     }
-    const RequestContent content = requestContent(request.ask.account, request.ask.call);
+    const RequestContent content =
+        requestContent(request.callerRequest.account, request.callerRequest.call);
     if (!m_crashes.isEmpty() && m_crashes.mayContain(computeFastHash(content)))
         m_crashes.recordCompletion(computeDigest(content));
     m_counters->add(Counter::RequestsCompleted);
@@ -174,17 +180,18 @@
     const Agent *agent = findAgent(request.agent);
     if (!agent || !agent->up)
         return;
-    m_actions.emplace_back(SendToAgent{agent->name, Cancel{request.ask.id, request.attempt}});
+    m_actions.emplace_back(
+        SendToAgent{agent->name, Cancel{request.callerRequest.id, request.attempt}});
 }
 
-void RouterCore::unbind(Request &request)
+void RouterCore::unassign(Request &request)
 {
     if (Agent *agent = findAgent(request.agent))
-        agent->mine.erase(request.ask.id);
+        agent->localRequests.erase(request.callerRequest.id);
     request.agent = VmName();
 }
 
-/// Decides what a failed attempt means: another attempt, or the final word at once.
+/// Handles a failed attempt: either another attempt follows, or the caller gets the final result.
 void RouterCore::attemptFailed(Request &request, ErrorKind kind, Outcome outcome,
                                const std::string &reason, Time now)
 {
@@ -200,73 +207,74 @@
     request.mayHaveRun = request.mayHaveRun || outcome != Outcome::NotRun;
     const ErrorKind refusal = retryRefusal(request, kind, outcome, now);
     if (refusal == ErrorKind::None) {
-        putBack(request, kind, now);
+        requeue(request, kind, now);
         return;
     }
-    // Tokens given to the caller are proof that it ran, whatever the last attempt says.
-    Outcome told = request.tokens > 0 ? Outcome::Ran : outcome;
-    ErrorKind toldKind = refusal;
-    if (told == Outcome::Unknown && refusal == ErrorKind::AgentLost)
-        toldKind = ErrorKind::OutcomeUnknown;
+    // Tokens that the caller has received prove that the request ran, whatever the last attempt
+    // reports.
+    Outcome outcomeForCaller = request.tokens > 0 ? Outcome::Ran : outcome;
+    ErrorKind kindForCaller = refusal;
+    if (outcomeForCaller == Outcome::Unknown && refusal == ErrorKind::AgentLost)
+        kindForCaller = ErrorKind::OutcomeUnknown;
     if (request.tokens > 0 && refusal == ErrorKind::AgentLost)
-        toldKind = ErrorKind::UpstreamLost;
-    finish(request, {toldKind, told, reason, request.tokens}, now);
+        kindForCaller = ErrorKind::UpstreamLost;
+    finish(request, {kindForCaller, outcomeForCaller, reason, request.tokens}, now);
 }
 
-/// None when another attempt may be made; else the kind to tell.
+/// ErrorKind::None when another attempt may be made; otherwise the kind to report to the caller.
 ErrorKind RouterCore::retryRefusal(Request &request, ErrorKind kind, Outcome outcome, Time now)
 {
-    if (outcome != Outcome::NotRun && !request.ask.repeatable)
+    if (outcome != Outcome::NotRun && !request.callerRequest.repeatable)
         return kind;
-    if (isQuarantined(request.ask, now))
+    if (isQuarantined(request.callerRequest, now))
         return kind;
-    const bool lasting = kind == ErrorKind::KeyInUse || kind == ErrorKind::KeyAnswered
+    const bool isPermanent = kind == ErrorKind::KeyInUse || kind == ErrorKind::KeyAnswered
         || kind == ErrorKind::ClaimStoreDown || kind == ErrorKind::AnswerCorrupt
         || kind == ErrorKind::BadRequest;
-    if (lasting)
+    if (isPermanent)
         return kind;
     if (request.tokens > 0 && !request.textComplete)
         return kind;
     const bool late = now >= request.deadline;
     if (request.attempt - request.preemptions >= m_tuning.maxDispatchAttempts || late)
         return kind;
-    if (!costsNothing(kind) && !m_budgets[request.cls.name].take())
+    if (!isFreeRetry(kind) && !m_budgets[request.cls.name].take())
         return ErrorKind::RetryBudgetSpent;
     return ErrorKind::None;
 }
 
-void RouterCore::putBack(Request &request, ErrorKind kind, Time now)
+void RouterCore::requeue(Request &request, ErrorKind kind, Time now)
 {
     m_counters->retried(kind);
-    unbind(request);
+    unassign(request);
     if (!apply(request, RequestEvent::Requeued))
         return;
     if (kind == ErrorKind::Preempted)
         ++request.preemptions;
-    if (!costsNothing(kind))
+    if (!isFreeRetry(kind))
         ++request.retries;
-    m_deadlines.erase({request.lookAt, request.ask.id});
-    const Time again = now + drawPause(std::max(1U, request.retries));
-    if (again >= request.deadline && request.cls.late == LatePolicy::Drop) {
+    m_deadlines.erase({request.nextCheckAt, request.callerRequest.id});
+    const Time retryAt = now + drawRetryDelay(std::max(1U, request.retries));
+    if (retryAt >= request.deadline && request.cls.late == LatePolicy::Drop) {
         finish(request,
                {ErrorKind::DeadlineQueued, request.tokens > 0 ? Outcome::Ran : Outcome::NotRun, "",
                 request.tokens},
                now);
         return;
     }
-    m_delayed.emplace(again, request.ask.id);
-    request.lookAt = again;
+    m_delayedRetries.emplace(retryAt, request.callerRequest.id);
+    request.nextCheckAt = retryAt;
 }
 
-/// Tells the final word and forgets the request.
+/// Sends the final result to the caller and removes the request.
 void RouterCore::finish(Request &request, AnswerResult end, Time now)
 {
     if (!apply(request, RequestEvent::Finished))
         return;
-    const RequestId id = request.ask.id;
+    const RequestId id = request.callerRequest.id;
     end.tokens = request.tokens;
-    // The last try says nothing of those before it: a request whose upstream was lost under it was
-    // told as not run when its next try found no upstream.
+    // The last attempt says nothing about the earlier ones: a request whose upstream was lost while
+    // it ran would be reported as not run if its next attempt found no upstream.
     if (end.outcome == Outcome::NotRun && request.mayHaveRun)
         end.outcome = request.tokens > 0 ? Outcome::Ran : Outcome::Unknown;
     const bool onTime = now <= request.deadline;
@@ -276,18 +284,19 @@
         m_counters->add(Counter::TokensWasted, request.tokens);
     if (end.kind != ErrorKind::None)
         m_counters->refused(end.kind);
-    if (const auto it = m_targets.find(request.ask.target); it != m_targets.end()) {
+    if (const auto it = m_targets.find(request.callerRequest.target); it != m_targets.end()) {
         it->second->queue->remove(id);
         if (request.attempt > 0) {
-            const double made = request.promptTokens + static_cast<double>(request.tokens);
+            const double actualCost = request.promptTokens + static_cast<double>(request.tokens);
             const double charged = request.cost * request.attempt;
-            it->second->queue->charge(request.cls.name, request.ask.account, made - charged);
+            it->second->queue->charge(request.cls.name, request.callerRequest.account,
+                                      actualCost - charged);
         }
     }
-    unbind(request);
-    m_deadlines.erase({request.lookAt, id});
-    m_delayed.erase({request.lookAt, id});
-    m_limiter.release(request.ask.account);
+    unassign(request);
+    m_deadlines.erase({request.nextCheckAt, id});
+    m_delayedRetries.erase({request.nextCheckAt, id});
+    m_limiter.release(request.callerRequest.account);
     m_actions.emplace_back(SendToCaller{id, std::move(end)});
     m_requests.erase(id);
 }
@@ -301,7 +310,7 @@
     if (Agent *agent = findAgent(request->agent))
         agent->circuit.abandoned();
     finish(*request, {ErrorKind::CallerDisconnected, Outcome::Unknown, "", 0}, now);
-    pumpAll(now);
+    dispatchAllQueued(now);
 }
 
 void RouterCore::callerConsumed(const RequestId &id, std::uint64_t tokens)
@@ -309,9 +318,9 @@
     Request *request = findRequest(id);
     if (!request)
         return;
-    request->taken += tokens;
+    request->consumedTokens += tokens;
     const Agent *agent = findAgent(request->agent);
-    if (!agent || !agent->up || request->life.state() == RequestState::Recovering)
+    if (!agent || !agent->up || request->lifecycle.state() == RequestState::Recovering)
         return;
     m_actions.emplace_back(SendToAgent{agent->name, Credit{id, request->attempt, tokens}});
 }
--- a/src/libreachlead/routercore_dispatch.cpp
+++ b/src/libreachlead/routercore_dispatch.cpp
@@ -11,26 +11,26 @@
 
 namespace reachlead {
 
-void RouterCore::pumpAll(Time now)
+void RouterCore::dispatchAllQueued(Time now)
 {
     for (auto &[name, target] : m_targets)
-        pump(*target, now);
+        dispatchQueued(*target, now);
 }
 
-void RouterCore::pump(Target &target, Time now)
+void RouterCore::dispatchQueued(Target &target, Time now)
 {
     while (target.queue->size() > 0) {
-        if (!placeNext(target, now))
+        if (!dispatchNext(target, now))
             return;
     }
     target.backlogged = false;
 }
 
-bool RouterCore::placeNext(Target &target, Time now)
+bool RouterCore::dispatchNext(Target &target, Time now)
 {
     std::vector<Agent *> agents;
-    const std::vector<Candidate> open = candidates(target, now, &agents);
-    if (open.empty()) {
+    const std::vector<Candidate> eligible = candidates(target, now, &agents);
+    if (eligible.empty()) {
         target.backlogged = true;
         return false;
     }
@@ -39,30 +39,33 @@
         return false;
     if (target.backlogged) {
         constexpr double smoothing = 0.1;
-        const double gap = toSeconds(now - target.poppedAt);
-        target.popSeconds += smoothing * (gap - target.popSeconds);
+        const double gap = toSeconds(now - target.lastDispatchAt);
+        target.dispatchIntervalSeconds += smoothing * (gap - target.dispatchIntervalSeconds);
     }
-    target.poppedAt = now;
+    target.lastDispatchAt = now;
     Request *request = findRequest(next->id);
     if (!request)
         return true;
-    if (isQuarantined(request->ask, now)) {
-        // It waited while others of its content ended upstreams.
+    if (isQuarantined(request->callerRequest, now)) {
+        // Requests with the same content crashed upstreams while this one was queued.
         const ErrorKind kind =
             request->mayHaveRun ? ErrorKind::UpstreamLost : ErrorKind::RequestQuarantined;
-        finish(*request, {kind, Outcome::NotRun, "upstreams ended under this request", 0}, now);
+        finish(*request,
+               {kind, Outcome::NotRun, "upstreams crashed while they had this request", 0}, now);
         return true;
     }
-    if (tooLateToStart(*request, target, now)) {
+    if (isTooLateToStart(*request, target, now)) {
         const Outcome outcome = request->tokens > 0 ? Outcome::Ran : Outcome::NotRun;
-        finish(*request, {ErrorKind::DeadlineQueued, outcome, "too late to start", 0}, now);
+        finish(*request,
+               {ErrorKind::DeadlineQueued, outcome, "would not complete before its deadline", 0},
+               now);
         return true;
     }
-    const std::string &key = request->ask.idempotencyKey;
+    const std::string &key = request->callerRequest.idempotencyKey;
     if (key.empty())
-        place(*request, *agents[*target.placement->select(open, m_random)]);
+        dispatch(*request, *agents[*target.placement->select(eligible, m_random)]);
     else
-        place(*request, *agentOfKey(request->ask, agents));
+        dispatch(*request, *agentForKey(request->callerRequest, agents));
     return true;
 }
 
@@ -77,7 +80,8 @@
     return {};
 }
 
-/// Room of its own, or, for a request of \p tier, the places of running requests of lower tiers.
+/// Returns whether the agent has a free place or, for a request of \p tier, running requests of
+/// lower tiers that can be preempted.
 bool RouterCore::hasRoom(const Agent &agent, std::optional<Tier> tier) const
 {
     if (!m_strategy.lateBinding)
@@ -93,7 +97,7 @@
     return agent.used() < places;
 }
 
-double RouterCore::medianGap(const Target &target) const
+double RouterCore::medianTokenGap(const Target &target) const
 {
     std::vector<double> gaps;
     for (const VmName &name : target.agents) {
@@ -108,7 +112,7 @@
     return *middle;
 }
 
-Candidate RouterCore::candidateOf(const Agent &agent, double medianGap) const
+Candidate RouterCore::makeCandidate(const Agent &agent, double medianTokenGap) const
 {
     const double gap = agent.load.tokenGapMicros;
     Candidate candidate;
@@ -116,79 +120,80 @@
     candidate.sameZone = agent.zone == m_zone;
     candidate.window = std::max(1U, agent.load.window);
     candidate.used = agent.used();
-    candidate.slowness = medianGap > 0 && gap > 0 ? gap / medianGap : 1.0;
+    candidate.slowness = medianTokenGap > 0 && gap > 0 ? gap / medianTokenGap : 1.0;
     return candidate;
 }
 
-/// The agents that can take the next request: those with room of their own, or else those where
-/// it may take the place of a lower tier.
+/// The agents that can run the next request: those with free places, or else those where it can
+/// preempt a request of a lower tier.
 std::vector<Candidate> RouterCore::candidates(const Target &target, Time now,
                                               std::vector<Agent *> *agents)
 {
-    std::vector<Agent *> standing;
+    std::vector<Agent *> available;
     for (const VmName &name : target.agents) {
         Agent &agent = *m_agents.at(name);
         if (exclusionReason(agent, now).empty())
-            standing.push_back(&agent);
+            available.push_back(&agent);
     }
     const std::optional<Tier> tier = target.queue->nextTier();
-    for (const std::optional<Tier> taking : {std::optional<Tier>(), tier}) {
-        std::ranges::copy_if(standing, std::back_inserter(*agents),
-                             [&](const Agent *agent) { return hasRoom(*agent, taking); });
+    for (const std::optional<Tier> preemptingTier : {std::optional<Tier>(), tier}) {
+        std::ranges::copy_if(available, std::back_inserter(*agents),
+                             [&](const Agent *agent) { return hasRoom(*agent, preemptingTier); });
         if (!agents->empty())
             break;
     }
-    const double median = medianGap(target);
-    std::vector<Candidate> open;
-    open.reserve(agents->size());
+    const double median = medianTokenGap(target);
+    std::vector<Candidate> eligible;
+    eligible.reserve(agents->size());
     for (const Agent *agent : *agents)
-        open.push_back(candidateOf(*agent, median));
-    return open;
+        eligible.push_back(makeCandidate(*agent, median));
+    return eligible;
 }
 
-/// The agent that usually writes the claims of the key's partition. Any agent would do: this only
-/// saves conflicts between writers, and finds first answers that are still held.
-RouterCore::Agent *RouterCore::agentOfKey(const CallerRequest &ask,
-                                          const std::vector<Agent *> &agents)
+/// The agent that usually writes the claims of the partition of the key. Any agent would be
+/// correct; this one avoids write conflicts, and may still hold the first answer.
+RouterCore::Agent *RouterCore::agentForKey(const CallerRequest &callerRequest,
+                                           const std::vector<Agent *> &agents)
 {
-    const std::uint32_t partition = claimPartition(ask.account, ask.idempotencyKey);
+    const std::uint32_t partition =
+        claimPartition(callerRequest.account, callerRequest.idempotencyKey);
     return *std::ranges::max_element(agents, {}, [&](const Agent *agent) {
         return XXH64(agent->name.text.data(), agent->name.text.size(), partition);
     });
 }
 
-void RouterCore::place(Request &request, Agent &agent)
+void RouterCore::dispatch(Request &request, Agent &agent)
 {
     if (!apply(request, RequestEvent::Assigned))
         return;
     request.agent = agent.name;
-    request.boundTo = agent.incarnation;
+    request.agentIncarnation = agent.incarnation;
     ++request.attempt;
     request.attemptTokens = 0;
     XXH64_reset(&request.hashState, 0);
-    agent.mine.insert(request.ask.id);
+    agent.localRequests.insert(request.callerRequest.id);
     agent.circuit.sent();
     m_counters->add(Counter::Dispatched);
     if (request.tokens > 0)
         m_counters->add(Counter::Resumed);
 
     Dispatch message;
-    message.id = request.ask.id;
+    message.id = request.callerRequest.id;
     message.attempt = request.attempt;
-    message.account = request.ask.account;
+    message.account = request.callerRequest.account;
     message.cls = request.cls.name;
     message.tier = m_strategy.sendTier ? static_cast<std::uint8_t>(request.cls.tier) : 0;
-    message.repeatable = request.ask.repeatable;
-    message.stream = request.ask.isModel;
+    message.repeatable = request.callerRequest.repeatable;
+    message.stream = request.callerRequest.isModel;
     message.preemptible = request.preemptions < m_tuning.maxPreemptions && request.textComplete;
     message.floor = request.cls.floor;
-    message.idempotencyKey = request.ask.idempotencyKey;
+    message.idempotencyKey = request.callerRequest.idempotencyKey;
     message.interTokenMicros =
         static_cast<std::uint64_t>(toSeconds(request.cls.interTokenTarget) * 1e6);
     message.resumeFrom = request.tokens;
     message.resumeText = request.tokens > 0 ? request.text : std::string();
     message.credit = m_tuning.creditTokens;
-    message.call = request.ask.call;
+    message.call = request.callerRequest.call;
     m_actions.emplace_back(SendToAgent{agent.name, std::move(message)});
 }
 
--- a/src/libreachlead/routercore_pvt.h
+++ b/src/libreachlead/routercore_pvt.h
@@ -2,11 +2,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The records of the router's core, shared by its source files alone.
+/// Internal records of RouterCore, shared by its source files.
 
 #pragma once
 
-// The hash state is a plain member here; the library shows its layout on request only.
+// The hash state is a member below; xxHash exposes its layout only with this macro.
 #define XXH_STATIC_LINKING_ONLY
 #include <xxhash.h>
 
@@ -14,34 +14,35 @@
 
 namespace reachlead {
 
-/// One request from its arrival to its final word.
+/// One request, from its arrival to its final result.
 struct RouterCore::Request
 {
-    CallerRequest ask;
-    ClassPolicy cls; ///< as it stood at arrival
-    RequestLifecycle life;
-    Time arrived;
-    Time deadline; ///< for the whole answer
-    Time doubtUntil{}; ///< while recovering: when waiting for the agent ends
-    VmName agent; ///< empty: with none
-    Incarnation boundTo; ///< of the agent that got the present attempt
+    CallerRequest callerRequest;
+    ClassPolicy cls; ///< as of the arrival
+    RequestLifecycle lifecycle;
+    Time arrivedAt;
+    Time deadline; ///< for the complete answer
+    Time recoveryDeadline{}; ///< while recovering: end of the wait for the agent to reconnect
+    VmName agent; ///< empty: not assigned
+    Incarnation agentIncarnation; ///< incarnation of the agent that got the current attempt
     Attempt attempt = 0;
-    unsigned preemptions = 0; ///< attempts that gave way to a higher tier
-    unsigned retries = 0; ///< attempts that failed and were paid from the budget
+    unsigned preemptions = 0; ///< attempts that were preempted by a higher tier
+    unsigned retries = 0; ///< failed attempts that were charged to the retry budget
     double promptTokens = 1;
-    double cost = 1; ///< predicted tokens, prompt included: charged at each dispatch
-    bool mayHaveRun = false; ///< an attempt that failed did, or it is not known
+    double cost = 1; ///< predicted tokens, including the prompt; charged at each dispatch
+    bool mayHaveRun = false; ///< a failed attempt ran, or its outcome is unknown
     std::uint64_t tokens = 0; ///< tokens of the answer received so far
-    std::uint64_t attemptTokens = 0; ///< of them, those of this attempt
-    std::uint64_t hash = 0; ///< final hash of this attempt's text
+    std::uint64_t attemptTokens = 0; ///< of these, the tokens of the current attempt
+    std::uint64_t hash = 0; ///< final hash of the text of the current attempt
     XXH64_state_t hashState{};
-    std::string text; ///< answer so far, for a resume
-    bool textComplete = true; ///< false: too long to be kept, no resume
-    std::uint64_t taken = 0; ///< tokens the caller has taken
-    Time lookAt{}; ///< key in m_deadlines
+    std::string text; ///< answer so far, kept for resuming it
+    /// False: the text exceeded the limit, so the answer cannot be resumed.
+    bool textComplete = true;
+    std::uint64_t consumedTokens = 0; ///< tokens that the caller has consumed
+    Time nextCheckAt{}; ///< key of the request in m_deadlines or m_delayedRetries
 };
 
-/// One agent and the present session to it.
+/// One agent and its current session.
 struct RouterCore::Agent
 {
     VmName name;
@@ -49,23 +50,25 @@
     TargetName target;
     Incarnation incarnation;
     bool up = false;
-    bool leavingByList = false;
+    bool isLeavingInMembership = false;
     Load load;
-    std::unordered_set<RequestId> mine; ///< requests bound to it
-    bool full = false; ///< it refused for want of room since its last load report
-    Time heardAt{};
-    std::uint64_t beatSequence = 0;
+    /// Requests of this router that are assigned to it.
+    std::unordered_set<RequestId> localRequests;
+    bool full = false; ///< it refused a request for lack of room since its last load report
+    Time lastReceived{};
+    std::uint64_t heartbeatSequence = 0;
     Circuit circuit;
 
-    bool leaving() const { return leavingByList || load.leaving; }
+    bool leaving() const { return isLeavingInMembership || load.leaving; }
 
-    /// Best estimate of what it holds: others' by its report, ours by our own count.
+    /// Best estimate of the requests that the agent holds: those of other routers by its report,
+    /// those of this router by its own count.
     std::uint32_t used() const
     {
         const std::uint32_t held = load.running + load.queued;
         const std::uint32_t others =
             held > load.recipientRequests ? held - load.recipientRequests : 0;
-        return others + static_cast<std::uint32_t>(mine.size());
+        return others + static_cast<std::uint32_t>(localRequests.size());
     }
 };
 
@@ -76,10 +79,11 @@
     std::unique_ptr<RequestQueue> queue;
     std::unique_ptr<Placement> placement;
     std::vector<VmName> agents;
-    Time upAt{}; ///< when an agent was last seen up
-    double popSeconds = 0; ///< smoothed time between dispatches while requests wait
-    Time poppedAt{};
-    bool backlogged = false; ///< requests were left waiting after the last dispatch
+    Time lastAgentUpAt{}; ///< when an agent was last connected
+    /// Smoothed time between dispatches while requests are queued.
+    double dispatchIntervalSeconds = 0;
+    Time lastDispatchAt{};
+    bool backlogged = false; ///< requests were still queued after the last dispatch
 };
 
 } // namespace reachlead
