--- a/src/libreachlead/routercore_test.cpp
+++ b/src/libreachlead/routercore_test.cpp
@@ -8,34 +8,34 @@
 
 namespace reachlead {
 
-/// The router's decisions, driven by hand.
+/// Drives RouterCore with events and a manual clock, and checks the actions that it returns.
 class RouterCoreTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RouterCoreTest);
-    CPPUNIT_TEST(wholeAnswerIsTold);
-    CPPUNIT_TEST(corruptAnswerIsNotWhole);
+    CPPUNIT_TEST(completeAnswerIsDelivered);
+    CPPUNIT_TEST(corruptAnswerIsNotComplete);
     CPPUNIT_TEST(gapNeverReachesTheCaller);
     CPPUNIT_TEST(staleAttemptIsDropped);
-    CPPUNIT_TEST(refusalIsPlacedAgain);
+    CPPUNIT_TEST(refusedAttemptIsRetried);
     CPPUNIT_TEST(lostUpstreamIsResumedAtTheToken);
     CPPUNIT_TEST(notRepeatableIsNeverSentTwice);
-    CPPUNIT_TEST(neverSeenIsProof);
+    CPPUNIT_TEST(neverReceivedIsProof);
     CPPUNIT_TEST(restartedAgentCannotProve);
-    CPPUNIT_TEST(silentAgentIsGivenUp);
+    CPPUNIT_TEST(unresponsiveAgentIsDropped);
     CPPUNIT_TEST(waitForAnAgentIsBounded);
     CPPUNIT_TEST(waitWithoutUpstreamIsBounded);
     CPPUNIT_TEST(brownOutIsNotMultiplied);
     CPPUNIT_TEST(predictedLateIsRefusedAtOnce);
-    CPPUNIT_TEST(deadlineDropsWhatIsWorthless);
+    CPPUNIT_TEST(deadlineDropsLateRequests);
     CPPUNIT_TEST(nothingIsStartedTooLate);
-    CPPUNIT_TEST(higherTierMayTakeAPlace);
-    CPPUNIT_TEST(hangUpCancelsAtTheAgent);
-    CPPUNIT_TEST(refusalsNameTheirReason);
-    CPPUNIT_TEST(leavingAgentGetsNothing);
-    CPPUNIT_TEST(overtakenLoadIsDropped);
+    CPPUNIT_TEST(higherTierMayPreempt);
+    CPPUNIT_TEST(disconnectCancelsAtTheAgent);
+    CPPUNIT_TEST(refusalsReportTheirKind);
+    CPPUNIT_TEST(leavingAgentGetsNoRequests);
+    CPPUNIT_TEST(outOfOrderLoadIsDropped);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr Incarnation life{5};
+    static constexpr Incarnation routerIncarnation{5};
 
     Time m_now{seconds(100)};
     Counters m_counters;
@@ -82,7 +82,7 @@
         return message;
     }
 
-    void up(const std::string &vm, std::uint32_t window = 4, Incarnation inc = Incarnation{1})
+    void connect(const std::string &vm, std::uint32_t window = 4, Incarnation inc = Incarnation{1})
     {
         m_core->agentConnected(welcome(vm, window, inc), m_now);
         collect();
@@ -90,10 +90,10 @@
 
     void collect() { m_actions = m_core->takeActions(); }
 
-    RequestId ask(const std::string &cls = "live", bool repeatable = true)
+    RequestId submit(const std::string &cls = "live", bool repeatable = true)
     {
         CallerRequest request;
-        request.id = {life, ++m_sequence};
+        request.id = {routerIncarnation, ++m_sequence};
         request.account = AccountName("acc");
         request.cls = ClassName(cls);
         request.target = modelTarget("m");
@@ -104,56 +104,56 @@
         return id;
     }
 
-    void hear(const std::string &vm, const ToRouter &message)
+    void receive(const std::string &vm, const ToRouter &message)
     {
         m_core->agentMessage(VmName(vm), message, m_now);
         collect();
     }
 
-    void pass(Duration length)
+    void advance(Duration length)
     {
         const Time until = m_now + length;
-        std::vector<RouterAction> all;
+        std::vector<RouterAction> actions;
         while (m_now < until) {
             m_now += milliseconds(5);
             m_core->tick(m_now);
             collect();
-            std::ranges::move(m_actions, std::back_inserter(all));
+            std::ranges::move(m_actions, std::back_inserter(actions));
         }
-        m_actions = std::move(all);
+        m_actions = std::move(actions);
     }
 
     template <class Message> std::vector<std::pair<std::string, Message>> sent() const
     {
-        std::vector<std::pair<std::string, Message>> list;
+        std::vector<std::pair<std::string, Message>> found;
         for (const RouterAction &action : m_actions) {
             const auto *send = std::get_if<SendToAgent>(&action);
             if (const auto *message = send ? std::get_if<Message>(&send->message) : nullptr)
-                list.emplace_back(send->agent.text, *message);
+                found.emplace_back(send->agent.text, *message);
         }
-        return list;
+        return found;
     }
 
-    template <class Event> std::vector<Event> told() const
+    template <class Event> std::vector<Event> callerEvents() const
     {
-        std::vector<Event> list;
+        std::vector<Event> found;
         for (const RouterAction &action : m_actions) {
-            const auto *tell = std::get_if<SendToCaller>(&action);
-            if (const auto *event = tell ? std::get_if<Event>(&tell->event) : nullptr)
-                list.push_back(*event);
+            const auto *send = std::get_if<SendToCaller>(&action);
+            if (const auto *event = send ? std::get_if<Event>(&send->event) : nullptr)
+                found.push_back(*event);
         }
-        return list;
+        return found;
     }
 
-    AnswerResult onlyEnd() const
+    AnswerResult singleResult() const
     {
-        const auto ends = told<AnswerResult>();
+        const auto ends = callerEvents<AnswerResult>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ends.size());
         return ends.front();
     }
 
-    static AttemptResult endOf(const RequestId &id, Attempt attempt, const std::string &text,
-                               std::uint64_t tokens)
+    static AttemptResult makeResult(const RequestId &id, Attempt attempt, const std::string &text,
+                                    std::uint64_t tokens)
     {
         AttemptResult end;
         end.id = id;
@@ -163,76 +163,76 @@
         return end;
     }
 
-    static AttemptResult failure(const RequestId &id, Attempt attempt, ErrorKind kind,
-                                 Outcome outcome)
+    static AttemptResult makeFailure(const RequestId &id, Attempt attempt, ErrorKind kind,
+                                     Outcome outcome)
     {
-        AttemptResult end = endOf(id, attempt, "", 0);
+        AttemptResult end = makeResult(id, attempt, "", 0);
         end.kind = kind;
         end.outcome = outcome;
         return end;
     }
 
-    void wholeAnswerIsTold()
+    void completeAnswerIsDelivered()
     {
-        up("a");
-        const RequestId id = ask();
+        connect("a");
+        const RequestId id = submit();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Dispatch>().size());
-        hear("a", Started{id, 1});
-        hear("a", Chunk{id, 1, 0, 2, "x y"});
-        CPPUNIT_ASSERT_EQUAL(std::string("x y"), told<AnswerText>().at(0).text);
-        hear("a", endOf(id, 1, "x y", 2));
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::None);
+        receive("a", Started{id, 1});
+        receive("a", Chunk{id, 1, 0, 2, "x y"});
+        CPPUNIT_ASSERT_EQUAL(std::string("x y"), callerEvents<AnswerText>().at(0).text);
+        receive("a", makeResult(id, 1, "x y", 2));
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::None);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_core->openRequests());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, m_counters.value(Counter::TokensDelivered));
     }
 
-    void corruptAnswerIsNotWhole()
+    void corruptAnswerIsNotComplete()
     {
-        up("a");
-        const RequestId id = ask();
-        hear("a", Chunk{id, 1, 0, 2, "x y"});
-        hear("a", endOf(id, 1, "x z", 2));
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::AnswerCorrupt);
-        CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::Ran);
+        connect("a");
+        const RequestId id = submit();
+        receive("a", Chunk{id, 1, 0, 2, "x y"});
+        receive("a", makeResult(id, 1, "x z", 2));
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::AnswerCorrupt);
+        CPPUNIT_ASSERT(singleResult().outcome == Outcome::Ran);
     }
 
     void gapNeverReachesTheCaller()
     {
-        up("a");
-        const RequestId id = ask();
-        hear("a", Chunk{id, 1, 0, 1, "x"});
-        hear("a", Chunk{id, 1, 0, 1, "x"}); // again: dropped
-        CPPUNIT_ASSERT(told<AnswerText>().empty());
-        hear("a", Chunk{id, 1, 3, 1, "z"}); // a hole
-        CPPUNIT_ASSERT(told<AnswerText>().empty());
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::AnswerCorrupt);
+        connect("a");
+        const RequestId id = submit();
+        receive("a", Chunk{id, 1, 0, 1, "x"});
+        receive("a", Chunk{id, 1, 0, 1, "x"}); // duplicate: dropped
+        CPPUNIT_ASSERT(callerEvents<AnswerText>().empty());
+        receive("a", Chunk{id, 1, 3, 1, "z"}); // gap
+        CPPUNIT_ASSERT(callerEvents<AnswerText>().empty());
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::AnswerCorrupt);
     }
 
     void staleAttemptIsDropped()
     {
-        up("a");
-        const RequestId id = ask();
-        hear("a", Refused{id, 1, ErrorKind::AgentBusy, ""});
-        hear("a", LoadReport{welcome("a").load});
-        pass(seconds(1));
+        connect("a");
+        const RequestId id = submit();
+        receive("a", Refused{id, 1, ErrorKind::AgentBusy, ""});
+        receive("a", LoadReport{welcome("a").load});
+        advance(seconds(1));
         CPPUNIT_ASSERT_EQUAL(Attempt{2}, sent<Dispatch>().at(0).second.attempt);
-        hear("a", Chunk{id, 1, 0, 1, "stale"});
-        CPPUNIT_ASSERT(told<AnswerText>().empty());
-        hear("a", endOf(id, 1, "stale", 1));
-        CPPUNIT_ASSERT(told<AnswerResult>().empty());
+        receive("a", Chunk{id, 1, 0, 1, "stale"});
+        CPPUNIT_ASSERT(callerEvents<AnswerText>().empty());
+        receive("a", makeResult(id, 1, "stale", 1));
+        CPPUNIT_ASSERT(callerEvents<AnswerResult>().empty());
         CPPUNIT_ASSERT(m_counters.value(Counter::StaleFrames) >= 2);
-        hear("a", Chunk{id, 2, 0, 1, "good"});
-        CPPUNIT_ASSERT_EQUAL(std::string("good"), told<AnswerText>().at(0).text);
+        receive("a", Chunk{id, 2, 0, 1, "good"});
+        CPPUNIT_ASSERT_EQUAL(std::string("good"), callerEvents<AnswerText>().at(0).text);
     }
 
-    void refusalIsPlacedAgain()
+    void refusedAttemptIsRetried()
     {
-        up("a", 1);
-        up("b", 1);
-        const RequestId id = ask("live", false);
+        connect("a", 1);
+        connect("b", 1);
+        const RequestId id = submit("live", false);
         const std::string first = sent<Dispatch>().at(0).first;
-        hear(first, Refused{id, 1, ErrorKind::AgentLeaving, ""});
-        pass(seconds(1));
+        receive(first, Refused{id, 1, ErrorKind::AgentLeaving, ""});
+        advance(seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Dispatch>().size());
         CPPUNIT_ASSERT(sent<Dispatch>().at(0).first != first);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, m_counters.retriedCount(ErrorKind::AgentLeaving));
@@ -240,73 +240,73 @@
 
     void lostUpstreamIsResumedAtTheToken()
     {
-        up("a");
-        up("b");
-        const RequestId id = ask();
+        connect("a");
+        connect("b");
+        const RequestId id = submit();
         const std::string first = sent<Dispatch>().at(0).first;
-        hear(first, Chunk{id, 1, 0, 2, "x y"});
-        hear(first, failure(id, 1, ErrorKind::UpstreamLost, Outcome::Ran));
-        pass(seconds(1));
+        receive(first, Chunk{id, 1, 0, 2, "x y"});
+        receive(first, makeFailure(id, 1, ErrorKind::UpstreamLost, Outcome::Ran));
+        advance(seconds(1));
         const Dispatch again = sent<Dispatch>().at(0).second;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, again.resumeFrom);
         CPPUNIT_ASSERT_EQUAL(std::string("x y"), again.resumeText);
         const std::string second = sent<Dispatch>().at(0).first;
-        hear(second, Chunk{id, 2, 2, 1, " z"});
-        hear(second, endOf(id, 2, " z", 1));
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::None);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, onlyEnd().tokens);
+        receive(second, Chunk{id, 2, 2, 1, " z"});
+        receive(second, makeResult(id, 2, " z", 1));
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::None);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, singleResult().tokens);
     }
 
     void notRepeatableIsNeverSentTwice()
     {
-        up("a");
-        up("b");
-        const RequestId id = ask("live", false);
+        connect("a");
+        connect("b");
+        const RequestId id = submit("live", false);
         const std::string agent = sent<Dispatch>().at(0).first;
-        hear(agent, failure(id, 1, ErrorKind::UpstreamLost, Outcome::Unknown));
-        CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::Unknown);
-        pass(seconds(2));
+        receive(agent, makeFailure(id, 1, ErrorKind::UpstreamLost, Outcome::Unknown));
+        CPPUNIT_ASSERT(singleResult().outcome == Outcome::Unknown);
+        advance(seconds(2));
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
     }
 
-    void neverSeenIsProof()
+    void neverReceivedIsProof()
     {
-        up("a");
-        const RequestId id = ask("live", false);
+        connect("a");
+        const RequestId id = submit("live", false);
         m_core->agentDisconnected(VmName("a"), m_now);
         collect();
-        CPPUNIT_ASSERT(told<AnswerResult>().empty()); // in doubt: nothing is told yet
+        CPPUNIT_ASSERT(callerEvents<AnswerResult>().empty()); // outcome not known yet: no result
         m_core->agentConnected(welcome("a"), m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<AttemptQuery>().size());
-        hear("a", AttemptQueryReply{id, 1, AttemptState::NeverReceived});
-        pass(seconds(1));
+        receive("a", AttemptQueryReply{id, 1, AttemptState::NeverReceived});
+        advance(seconds(1));
         CPPUNIT_ASSERT_EQUAL(Attempt{2}, sent<Dispatch>().at(0).second.attempt);
     }
 
     void restartedAgentCannotProve()
     {
-        up("a");
-        ask("live", false);
+        connect("a");
+        submit("live", false);
         m_core->agentDisconnected(VmName("a"), m_now);
         m_core->agentConnected(welcome("a", 4, Incarnation{2}), m_now);
         collect();
         CPPUNIT_ASSERT(sent<AttemptQuery>().empty());
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::OutcomeUnknown);
-        CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::OutcomeUnknown);
+        CPPUNIT_ASSERT(singleResult().outcome == Outcome::Unknown);
     }
 
-    void silentAgentIsGivenUp()
+    void unresponsiveAgentIsDropped()
     {
         build(RouterTuning());
-        up("a");
-        pass(seconds(2));
+        connect("a");
+        advance(seconds(2));
         CPPUNIT_ASSERT(m_core->agents().at(0).up);
         m_core->heartbeat({protocolVersion, VmName("a"), Incarnation{1}, 1, welcome("a").load, ""},
                           m_now);
-        pass(seconds(2));
+        advance(seconds(2));
         CPPUNIT_ASSERT(m_core->agents().at(0).up);
-        pass(seconds(2));
+        advance(seconds(2));
         CPPUNIT_ASSERT(!m_core->agents().at(0).up);
         const auto drops = std::ranges::count_if(m_actions, [](const RouterAction &action) {
             return std::holds_alternative<DropSession>(action);
@@ -316,50 +316,52 @@
 
     void waitForAnAgentIsBounded()
     {
-        up("a");
-        ask("live", false);
+        connect("a");
+        submit("live", false);
         m_core->agentDisconnected(VmName("a"), m_now);
-        pass(RouterTuning().recoveryWait + milliseconds(10));
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::OutcomeUnknown);
+        advance(RouterTuning().recoveryWait + milliseconds(10));
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::OutcomeUnknown);
     }
 
     void waitWithoutUpstreamIsBounded()
     {
-        up("a", 1);
-        ask();
-        const RequestId waiting = ask();
+        connect("a", 1);
+        submit();
+        const RequestId waiting = submit();
         m_core->agentDisconnected(VmName("a"), m_now);
-        pass(RouterTuning().upstreamWait + milliseconds(50));
-        const auto ends = told<AnswerResult>();
+        advance(RouterTuning().upstreamWait + milliseconds(50));
+        const auto ends = callerEvents<AnswerResult>();
         CPPUNIT_ASSERT(!ends.empty());
         CPPUNIT_ASSERT(ends.front().kind == ErrorKind::NoUpstream);
         CPPUNIT_ASSERT(ends.front().outcome == Outcome::NotRun);
-        ask(); // refused at arrival from now on
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::NoUpstream);
-        up("a", 1);
-        ask();
+        submit(); // refused at arrival from now on
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::NoUpstream);
+        connect("a", 1);
+        submit();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Dispatch>().size());
         (void)waiting;
     }
 
-    /// Every attempt fails: the retries stay a fraction of the first tries.
+    /// Guards against retry amplification in a brown-out: every attempt fails, and the retries must
+    /// stay a fraction of the first attempts.
     void brownOutIsNotMultiplied()
     {
-        up("a", 1000);
+        connect("a", 1000);
         unsigned dispatched = 0;
         for (unsigned n = 0; n < 400; ++n) {
-            const RequestId id = ask();
-            std::vector<RouterAction> all = m_actions;
+            const RequestId id = submit();
+            std::vector<RouterAction> actions = m_actions;
             for (unsigned round = 0; round < 40; ++round) {
-                m_actions = std::exchange(all, {});
+                m_actions = std::exchange(actions, {});
                 for (const auto &[agent, message] : sent<Dispatch>()) {
                     ++dispatched;
-                    // A stale circuit would hide the budget: keep it closed.
-                    hear(agent, Refused{message.id, message.attempt, ErrorKind::AgentLost, ""});
-                    std::ranges::move(m_actions, std::back_inserter(all));
+                    // AgentLost does not count as a failure of the upstream: an open circuit would
+                    // hide the effect of the retry budget.
+                    receive(agent, Refused{message.id, message.attempt, ErrorKind::AgentLost, ""});
+                    std::ranges::move(m_actions, std::back_inserter(actions));
                 }
-                pass(milliseconds(5));
-                std::ranges::move(m_actions, std::back_inserter(all));
+                advance(milliseconds(5));
+                std::ranges::move(m_actions, std::back_inserter(actions));
             }
             (void)id;
         }
@@ -369,32 +371,32 @@
 
     void predictedLateIsRefusedAtOnce()
     {
-        up("a", 1);
-        const RequestId first = ask("brief");
+        connect("a", 1);
+        const RequestId first = submit("brief");
         for (unsigned n = 0; n < 20; ++n)
-            ask("brief");
-        // Serve some, each half a second after the other, so that the rate is known.
+            submit("brief");
+        // Complete some requests half a second apart, so that the service rate is known.
         RequestId running = first;
         for (unsigned n = 0; n < 8; ++n) {
-            pass(milliseconds(500));
-            hear("a", endOf(running, 1, "", 0));
+            advance(milliseconds(500));
+            receive("a", makeResult(running, 1, "", 0));
             running = sent<Dispatch>().at(0).second.id;
         }
-        ask("brief");
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::PredictedLate);
-        CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::NotRun);
-        ask("live"); // a class that delivers late is not refused
-        CPPUNIT_ASSERT(told<AnswerResult>().empty());
+        submit("brief");
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::PredictedLate);
+        CPPUNIT_ASSERT(singleResult().outcome == Outcome::NotRun);
+        submit("live"); // a class that delivers late is not refused
+        CPPUNIT_ASSERT(callerEvents<AnswerResult>().empty());
     }
 
-    void deadlineDropsWhatIsWorthless()
+    void deadlineDropsLateRequests()
     {
-        up("a", 1);
-        const RequestId running = ask("brief");
-        hear("a", Chunk{running, 1, 0, 1, "x"});
-        ask("brief");
-        pass(seconds(11));
-        const auto ends = told<AnswerResult>();
+        connect("a", 1);
+        const RequestId running = submit("brief");
+        receive("a", Chunk{running, 1, 0, 1, "x"});
+        submit("brief");
+        advance(seconds(11));
+        const auto ends = callerEvents<AnswerResult>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ends.size());
         CPPUNIT_ASSERT(ends[0].kind == ErrorKind::DeadlineRunning);
         CPPUNIT_ASSERT(ends[1].kind == ErrorKind::DeadlineQueued);
@@ -403,8 +405,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, m_counters.value(Counter::TokensWasted));
     }
 
-    /// Answers of 100 tokens at 80 ms take 8 of their 10 s: one that waited for 3 s cannot be
-    /// whole.
+    /// Guards against starting requests that cannot meet their deadline: answers of 100 tokens at
+    /// 80 ms take 8 s of a deadline of 10 s, so a request that was queued for 3 s cannot complete
+    /// in time.
     void nothingIsStartedTooLate()
     {
         Welcome slow = welcome("a", 1);
@@ -412,88 +415,89 @@
         m_core->agentConnected(slow, m_now);
         const std::string text = "answer";
         for (unsigned n = 0; n < 20; ++n) {
-            const RequestId id = ask("brief");
-            hear("a", Chunk{id, 1, 0, 100, text});
-            hear("a", endOf(id, 1, text, 100));
+            const RequestId id = submit("brief");
+            receive("a", Chunk{id, 1, 0, 100, text});
+            receive("a", makeResult(id, 1, text, 100));
         }
-        const RequestId running = ask("brief");
-        ask("brief");
-        pass(seconds(3));
-        hear("a", endOf(running, 1, "", 0));
+        const RequestId running = submit("brief");
+        submit("brief");
+        advance(seconds(3));
+        receive("a", makeResult(running, 1, "", 0));
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
-        const auto ends = told<AnswerResult>();
+        const auto ends = callerEvents<AnswerResult>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ends.size());
         CPPUNIT_ASSERT(ends[1].kind == ErrorKind::DeadlineQueued);
         CPPUNIT_ASSERT(ends[1].outcome == Outcome::NotRun);
     }
 
-    void higherTierMayTakeAPlace()
+    void higherTierMayPreempt()
     {
         Welcome full = welcome("a", 2);
         full.load.running = 2;
         full.load.preemptible[1] = 1;
         m_core->agentConnected(full, m_now);
         collect();
-        ask("brief"); // the same tier takes nobody's place
+        submit("brief"); // requests of the same tier are not preempted
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
-        ask("live");
+        submit("live");
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Dispatch>().size());
         CPPUNIT_ASSERT(sent<Dispatch>().at(0).second.cls == ClassName("live"));
-        ask("live"); // there was one place to take
+        submit("live"); // only one running request was preemptible
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
     }
 
-    void hangUpCancelsAtTheAgent()
+    void disconnectCancelsAtTheAgent()
     {
-        up("a");
-        const RequestId id = ask();
+        connect("a");
+        const RequestId id = submit();
         m_core->callerDisconnected(id, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Cancel>().size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_core->openRequests());
     }
 
-    void refusalsNameTheirReason()
+    void refusalsReportTheirKind()
     {
-        ask();
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::NoUpstream);
-        up("a");
-        ask("nothing");
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::ClassUnknown);
+        submit();
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::NoUpstream);
+        connect("a");
+        submit("nothing");
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::ClassUnknown);
         AccountPolicy account;
         account.name = AccountName("acc");
         account.limits.concurrency = 1;
         m_policies->accounts[account.name] = account;
         m_core->setPolicies(m_policies);
-        ask();
-        ask();
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::AccountConcurrency);
+        submit();
+        submit();
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::AccountConcurrency);
         m_core->stop();
-        ask();
-        CPPUNIT_ASSERT(onlyEnd().kind == ErrorKind::RouterStopping);
-        CPPUNIT_ASSERT(onlyEnd().outcome == Outcome::NotRun);
+        submit();
+        CPPUNIT_ASSERT(singleResult().kind == ErrorKind::RouterStopping);
+        CPPUNIT_ASSERT(singleResult().outcome == Outcome::NotRun);
     }
 
-    void leavingAgentGetsNothing()
+    void leavingAgentGetsNoRequests()
     {
-        up("a");
+        connect("a");
         m_core->setAgentLeaving(VmName("a"), true, m_now);
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Leaving>().size()); // the agent is told too
-        ask();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                             sent<Leaving>().size()); // the agent is informed as well
+        submit();
         CPPUNIT_ASSERT(sent<Dispatch>().empty());
         m_core->setAgentLeaving(VmName("a"), false, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Dispatch>().size());
     }
 
-    void overtakenLoadIsDropped()
+    void outOfOrderLoadIsDropped()
     {
-        up("a");
+        connect("a");
         Load leaving = welcome("a").load;
         leaving.sequence = 7;
         leaving.leaving = true;
-        hear("a", LoadReport{leaving});
+        receive("a", LoadReport{leaving});
         Load older = welcome("a").load;
         older.sequence = 6;
         m_core->heartbeat({protocolVersion, VmName("a"), Incarnation{1}, 9, older, ""}, m_now);
