--- a/src/libreachlead/routercore.cpp
+++ b/src/libreachlead/routercore.cpp
@@ -250,8 +250,8 @@
 }
 
 /// Returns whether the answer, of a class that drops late answers, would most likely miss its
-/// deadline. Engine time spent on it would be wasted; its place goes to a request that can still
-/// meet its deadline.
+/// deadline. Engine time spent on it would be wasted, and is better used for a request that can
+/// still meet its deadline.
 bool RouterCore::isTooLateToStart(const Request &request, const Target &target, Time now)
 {
     if (request.cls.late != LatePolicy::Drop || !m_strategy.dropLate
@@ -414,7 +414,7 @@
         Agent &agent = *m_agents.at(status.name);
         std::string reason = exclusionReason(agent, now);
         if (reason.empty() && !hasRoom(agent, std::nullopt))
-            reason = "at capacity";
+            reason = "no room";
         views.push_back({status, placementCost(makeCandidate(agent, median)), std::move(reason)});
     }
     return views;
--- a/src/libreachlead/routercore_dispatch.cpp
+++ b/src/libreachlead/routercore_dispatch.cpp
@@ -80,7 +80,7 @@
     return {};
 }
 
-/// Returns whether the agent has a free place or, for a request of \p tier, running requests of
+/// Returns whether the agent has free capacity or, for a request of \p tier, running requests of
 /// lower tiers that can be preempted.
 bool RouterCore::hasRoom(const Agent &agent, std::optional<Tier> tier) const
 {
@@ -124,7 +124,7 @@
     return candidate;
 }
 
-/// The agents that can run the next request: those with free places, or else those where it can
+/// The agents that can run the next request: those with free capacity, or else those where it can
 /// preempt a request of a lower tier.
 std::vector<Candidate> RouterCore::candidates(const Target &target, Time now,
                                               std::vector<Agent *> *agents)
