--- a/src/include/reachlead/admission.h
+++ b/src/include/reachlead/admission.h
@@ -44,8 +44,8 @@
     /// Mean time between tokens at the last adjustment; zero before the first.
     Duration tokenGap() const { return fromSeconds(m_meanGapSeconds); }
 
-    static constexpr Duration adjustInterval =
-        milliseconds(200); ///< minimum time between adjustments
+    /// Minimum time between adjustments.
+    static constexpr Duration adjustInterval = milliseconds(200);
     /// Fraction of the target below which the window grows.
     static constexpr double growThreshold = 0.92;
     /// Fraction of the target above which the window shrinks.
--- a/src/include/reachlead/routercore.h
+++ b/src/include/reachlead/routercore.h
@@ -114,12 +114,11 @@
     Duration maxOpenTime = seconds(600);
     /// Time that requests stay queued while no agent of the target is connected.
     Duration upstreamWait = seconds(2);
-    unsigned maxDispatchAttempts =
-        8; ///< including refusals for lack of room, excluding preemptions
+    /// Including refusals for lack of room, excluding preemptions.
+    unsigned maxDispatchAttempts = 8;
     unsigned maxPreemptions = 3; ///< of one request; it is not preempted any more after these
     std::uint64_t creditTokens = 256; ///< tokens that an agent may send ahead of the caller
-    std::size_t maxResumeTextBytes = 1U
-        << 20U; ///< bytes of an answer that are kept for resuming it
+    std::size_t maxResumeTextBytes = 1U << 20U; ///< of an answer, kept for resuming it
 };
 
 /// The state of one agent as known to the router.
--- a/src/libreachlead/routercore.cpp
+++ b/src/libreachlead/routercore.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Assumed bytes per token of a prompt, as the tokenizer of the target is not known here.
+/// Assumed bytes per token of a prompt; no better estimate is available here.
 constexpr double bytesPerToken = 4.0;
 
 /// The table of length estimates is cleared when it reaches this size.
