--- a/src/include/reachlead/messages.h
+++ b/src/include/reachlead/messages.h
@@ -249,8 +249,8 @@
 
 /// What the agent knows about an attempt that a router queries.
 enum class AttemptState : std::uint8_t {
-    NeverReceived, ///< proves that it was not run: frames of the earlier session can no longer
-                   ///< arrive
+    /// Proves that it was not run: frames of the earlier session can no longer arrive.
+    NeverReceived,
     Held, ///< running or finished; its frames follow
     Evicted ///< it may have run, but its record was evicted
 };
@@ -277,8 +277,8 @@
 struct UpstreamCrash
 {
     RequestDigest request;
-    std::uint64_t upstreamIncarnation =
-        0; ///< number of the crashed incarnation, counted by this agent from 1
+    /// Number of the crashed incarnation, counted by this agent from 1.
+    std::uint64_t upstreamIncarnation = 0;
 
     template <class Archive> void serialize(Archive &ar) { ar(request, upstreamIncarnation); }
 };
--- a/src/libreachlead/routercore_answers.cpp
+++ b/src/libreachlead/routercore_answers.cpp
@@ -43,13 +43,12 @@
 
 void RouterCore::handle(Agent & /*agent*/, const Welcome & /*message*/, Time /*now*/)
 {
-    m_counters->add(
-        Counter::HostileFrames); // Welcome is only valid as the first frame of a session
+    m_counters->add(Counter::HostileFrames); // Welcome is not valid within a session
 }
 
 void RouterCore::handle(Agent & /*agent*/, const Challenge & /*message*/, Time /*now*/)
 {
-    m_counters->add(Counter::HostileFrames); // Challenge is only valid before Welcome
+    m_counters->add(Counter::HostileFrames); // Challenge is not valid within a session
 }
 
 void RouterCore::handle(Agent &agent, const LoadReport &message, Time now)
