--- a/src/include/reachlead/fleetsource.h
+++ b/src/include/reachlead/fleetsource.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The border to whatever holds the fleet's configuration and registry.
+/// Interface to the store that holds the fleet's configuration and registry.
 
 #pragma once
 
@@ -24,8 +24,8 @@
 struct GatewayEntry
 {
     VmName vm;
-    Endpoint address; ///< of its peer port, TCP and UDP
-    MilliCores cores = 0; ///< what its process may use
+    Endpoint address; ///< its peer port, TCP and UDP
+    MilliCores cores = 0; ///< CPU share available to its process
 
     bool operator==(const GatewayEntry &other) const
     {
@@ -39,16 +39,16 @@
     }
 };
 
-/// The list of gateways that the platform keeps, and the platform's revision of its last change.
+/// The list of gateways stored by the platform, and the platform's revision of its last change.
 struct GatewayRoster
 {
-    std::uint64_t revision = 0; ///< 0: none is known
+    std::uint64_t revision = 0; ///< 0: not known yet
     std::vector<GatewayEntry> gateways;
 
     template <class Archive> void serialize(Archive &ar) { ar(revision, gateways); }
 };
 
-/// How far a gateway's state goes.
+/// Versions and revisions of the parts of a gateway's state.
 struct StateVersions
 {
     std::uint64_t config = 0;
@@ -63,17 +63,17 @@
     }
 };
 
-/// What one gateway tells another that is behind.
+/// State sent by one gateway to another whose state is older.
 struct StateUpdate
 {
-    std::optional<RoutingConfig> config; ///< whole, where its change could not be told
+    std::optional<RoutingConfig> config; ///< whole, if no delta could be computed
     std::optional<RoutingDelta> configChange;
     RegistryUpdate registry;
     EvacuationUpdate evacuations;
-    GatewayRoster roster; ///< of revision 0: nothing newer
+    GatewayRoster roster; ///< revision 0: no newer roster
 };
 
-/// Takes what a source reads. Called on the traffic thread.
+/// Receives what a FleetSource reads. Called on the traffic thread.
 class FleetSink
 {
 public:
@@ -84,42 +84,43 @@
     virtual void upstreamsChanged(std::vector<UpstreamChange> changes, std::uint64_t revision) = 0;
     virtual void gatewaysChanged(GatewayRoster roster) = 0;
 
-    /// The evacuated zones, all of them, as of the platform's \p revision.
+    /// All evacuated zones as of the platform's \p revision.
     virtual void evacuationsRead(ZoneSet zones, std::uint64_t revision) = 0;
 
-    /// The registry began or ceased to answer this gateway.
+    /// The registry started or stopped responding to this gateway.
     virtual void contactChanged(bool inContact) = 0;
 
-    /// The registry answered just now, and all that it had was told.
+    /// The registry has just responded, and all of its changes have been delivered.
     virtual void caughtUp() = 0;
 
-    /// Requests that end upstreams, as some gateway published them.
+    /// Quarantined requests, which crash the upstreams that run them, as published by any gateway.
     virtual void quarantineRead(std::vector<QuarantinedRequest> requests) = 0;
 };
 
-/// Reads configuration and registry, and keeps on following them.
+/// Reads the configuration and the registry and follows their changes.
 class FleetSource
 {
 public:
     virtual ~FleetSource() = default;
 
-    /// Begins to follow; \p sink outlives the source.
+    /// Starts to follow; \p sink must outlive the source.
     virtual void start(FleetSink *sink, const GatewayEntry &self) = 0;
 
-    /// Whether to go on following, or to rest after the first reading until told otherwise.
+    /// Whether to keep following, or to stop after the first read until this is set again.
     virtual void setWatching(bool watches) = 0;
 
-    /// Whether peers tell all that is needed. A first reading that failed is then not repeated.
+    /// Whether peers supply the whole state. If so, a failed first read is not retried.
     virtual void setServedByPeers(bool isServed) = 0;
 
-    /// Keeps the list of gateways where those that start read it, unless it changed since the
-    /// revision that \p roster was made from: whoever knows less would else take others off.
+    /// Stores the roster, from which starting gateways learn of the others, unless the stored one
+    /// has changed since the revision that \p roster is based on: otherwise a gateway that knows
+    /// fewer gateways would remove the others' entries.
     virtual void publish(GatewayRoster roster) = 0;
 
-    /// Keeps a quarantine where gateways that start later read it.
+    /// Stores a quarantine, which gateways that start later read.
     virtual void publish(const QuarantinedRequest &request) = 0;
 
-    /// Ends all calls.
+    /// Cancels all calls.
     virtual void stop() = 0;
 };
 
--- a/src/libreachlead/fleettime.cpp
+++ b/src/libreachlead/fleettime.cpp
@@ -31,10 +31,10 @@
 void FleetTime::recordClock(const VmName &vm, UnixMillis clock, Time at)
 {
     m_clocks[vm] = {clock - steadyMillis(at), at};
-    findMedian();
+    updateMedian();
 }
 
-void FleetTime::findMedian()
+void FleetTime::updateMedian()
 {
     if (m_clocks.empty())
         return;
@@ -54,8 +54,9 @@
 
 void FleetTime::dropOld(Time now)
 {
-    std::erase_if(m_clocks, [&](const auto &it) { return it.second.heard + maxClockAge < now; });
-    findMedian();
+    std::erase_if(m_clocks,
+                  [&](const auto &it) { return it.second.lastReceived + maxClockAge < now; });
+    updateMedian();
 }
 
 } // namespace reachlead
