--- a/src/include/reachlead/gatewaystate.h
+++ b/src/include/reachlead/gatewaystate.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a gateway believes: the configuration, the upstreams, the other gateways, and from whom it
-/// has it.
+/// A gateway's view of the configuration, the upstreams and the other gateways, updated by the
+/// platform and by peers.
 
 #pragma once
 
@@ -28,7 +28,7 @@
 
 namespace reachlead {
 
-/// The beliefs of one gateway. Not thread-safe; reads no clock but through now().
+/// The state of one gateway. Not thread-safe; reads the clock only through now().
 class GatewayState : public FleetSink
 {
 public:
@@ -38,18 +38,18 @@
         ZoneName zone;
         RetryBounds retries;
         UpstreamTable::Costs costs;
-        /// Upstreams that one gateway places for, about.
+        /// Approximate number of upstreams in a placement group.
         std::size_t groupSize = PlacementGroups::defaultSize;
         WatcherElection::Options watcherElection;
-        std::size_t minGateways = 1; ///< until others are known: seeds of the settings
-        /// Zones may be evacuated, so no call is served before it is known which are.
+        std::size_t minGateways = 1; ///< until others are known: seeds in the settings
+        /// Zones may be evacuated: no call is served until the evacuated zones are known.
         bool followsEvacuations = false;
-        RegionByZone regions; ///< none: routes and accounts that name regions get no upstream
+        RegionByZone regions; ///< empty: routes and accounts with regions get no upstream
     };
 
     explicit GatewayState(const Options &options);
 
-    // FleetSink: what the platform tells.
+    // FleetSink: updates from the platform.
     void configRead(RoutingConfig config) override;
     void upstreamsListed(std::vector<UpstreamEntry> entries, std::uint64_t revision) override;
     void upstreamsChanged(std::vector<UpstreamChange> changes, std::uint64_t revision) override;
@@ -59,10 +59,10 @@
     void caughtUp() override;
     void quarantineRead(std::vector<QuarantinedRequest> requests) override;
 
-    /// Takes up requests that others know to be in quarantine.
+    /// Adds requests that other gateways have quarantined.
     void learnQuarantine(const std::vector<QuarantinedRequest> &requests, std::string_view source);
 
-    /// What an answer said that was not known before.
+    /// What an upstream's notice changed.
     struct NoticeChanges
     {
         bool hasNewLimit = false;
@@ -70,51 +70,52 @@
         bool hasBackoff = false;
     };
 
-    /// What an upstream's answer said of its own state.
+    /// Applies the notice about an upstream's own state that came with its answer.
     NoticeChanges applyNotice(const UpstreamId &id, const UpstreamNotice &notice);
 
-    /// The limits, and the upstreams that leave, that another gateway heard of.
+    /// Applies limits and leaving upstreams reported by another gateway.
     void learnLimits(const std::vector<LimitUpdate> &notes, const VmName &peer);
     void learnLeaving(const std::vector<UpstreamId> &ids, const VmName &peer);
 
-    /// What another gateway told: the same, where it is newer.
-    void applyPeerUpdate(const VmName &peer, const StateUpdate &news);
+    /// Applies a peer's update, except for parts that are not newer than the local state.
+    void applyPeerUpdate(const VmName &peer, const StateUpdate &update);
 
-    /// What one that has these versions lacks: changes where they can be told, else all.
+    /// The update for a peer with these versions: changes if they are still known, otherwise the
+    /// whole state.
     StateUpdate updateSince(const StateVersions &known) const;
 
-    /// A peer's evacuations, as Evacuations::compare().
-    void compareEvacuations(std::uint64_t revision, std::uint32_t mark)
+    /// Compares a peer's evacuations with the local ones, see Evacuations::compare().
+    void compareEvacuations(std::uint64_t revision, std::uint32_t checksum)
     {
-        m_evacuations.compareWithPeer(revision, mark);
+        m_evacuations.compareWithPeer(revision, checksum);
     }
 
-    /// How far this gateway's own state goes.
+    /// Versions and revisions of this gateway's state.
     StateVersions versions() const;
 
     /// When this gateway's state was last known to be current.
     std::optional<Time> currentAt() const { return m_currentAt; }
 
-    /// A peer with the same state vouches that it was current at \p at.
+    /// A peer with the same state confirms that it was current at \p at.
     void confirmed(Time at);
 
-    /// Whether this gateway should follow the platform itself, given the peers that live.
+    /// Whether this gateway should follow the platform itself, given the live peers.
     bool shouldWatch(const std::set<VmName> &peers) const;
 
-    /// True while peers vouch that the state is no older than the duty's limit.
+    /// True while peers confirm a state no older than WatcherElection::Options::staleLimit.
     bool isConfirmed() const;
 
-    /// How many gateways there are by their beats, this one included.
-    void setLiveGateways(std::size_t heard);
+    /// Sets the number of gateways known by their heartbeats, this one included.
+    void setLiveGateways(std::size_t count);
 
-    /// Carries out what is due. Call a few times a second.
+    /// Expires held upstreams, quarantines, limits and backoffs. Call a few times a second.
     void tick();
 
     /// The configuration in force; null before the first.
     const RouteTablePtr &table() const { return m_table; }
     const UpstreamDirectory &directory() const { return m_directory; }
     const Evacuations &evacuations() const { return m_evacuations; }
-    UpstreamTable &upstreams() { return m_book; }
+    UpstreamTable &upstreams() { return m_upstreams; }
     PlacementGroups &groups() { return m_groups; }
     const VmName &vm() const { return m_options.vm; }
     const ZoneName &zone() const { return m_options.zone; }
@@ -124,48 +125,48 @@
     const GatewayRoster &roster() const { return m_roster; }
     std::uint64_t configVersion() const { return m_table ? m_table->version() : 0; }
 
-    /// Configurations that a change can be told from: a storm writes some each second, and one that
-    /// is further behind is rare.
+    /// Former configurations kept to compute deltas from. In a burst of changes there are several a
+    /// second; peers that are further behind are rare and get the whole configuration.
     static constexpr std::size_t maxFormerTables = 8;
 
-    /// Asked for the fleet's time of day; that of this VM until it is set.
+    /// Sets the source of the fleet's time of day; until then this VM's is used.
     void setTimeOfDay(std::function<UnixMillis()> callback) { m_timeOfDay = std::move(callback); }
 
-    /// True when calls can be served: a configuration and an upstream are known, and which zones
-    /// are evacuated where that may be.
+    /// True when calls can be served: a configuration and an upstream are known and, with
+    /// Options::followsEvacuations, the evacuated zones as well.
     bool isReady() const;
 
-    /// Called when others are to hear of the state at once: it changed, or is current again after
-    /// it was not for long.
+    /// Sets the callback for state that peers must receive at once: it has changed, or is current
+    /// again after it was older than half of WatcherElection::Options::staleLimit.
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
 
-    /// Called with the ids of upstreams that take no more work.
+    /// Sets the callback for the ids of upstreams that no longer take work.
     void onUpstreamsWithdrawn(std::function<void(const std::vector<UpstreamId> &)> callback)
     {
-        m_onLeft = std::move(callback);
+        m_onUpstreamsWithdrawn = std::move(callback);
     }
 
 private:
     static Time now() { return RuntimeClock::now(); }
-    void noteChange(const UpstreamDirectory::UsableChanges &changed, std::string_view source);
-    void adopt(RoutingConfig config, std::string_view source);
-    void noteCurrent(Time at);
+    void handleChange(const UpstreamDirectory::UsableChanges &changed, std::string_view source);
+    void applyConfig(RoutingConfig config, std::string_view source);
+    void setCurrentAt(Time at);
     void applyEvacuations(std::string_view source);
 
     Options m_options;
     RouteTablePtr m_table;
-    std::deque<RouteTablePtr> m_formerTables; ///< to tell changes from; oldest first
+    std::deque<RouteTablePtr> m_formerTables; ///< to compute deltas from; oldest first
     UpstreamDirectory m_directory;
     Evacuations m_evacuations;
-    UpstreamTable m_book;
+    UpstreamTable m_upstreams;
     PlacementGroups m_groups;
     RetryShare m_retries;
     CrashTracker m_crashes;
     GatewayRoster m_roster;
-    std::size_t m_heardGateways = 1;
+    std::size_t m_liveGateways = 1;
     std::optional<Time> m_currentAt;
-    WatcherElection m_duty;
-    std::function<void(const std::vector<UpstreamId> &)> m_onLeft;
+    WatcherElection m_watcherElection;
+    std::function<void(const std::vector<UpstreamId> &)> m_onUpstreamsWithdrawn;
     std::function<void()> m_onChange;
     std::function<UnixMillis()> m_timeOfDay = vmTimeOfDay;
 };
--- a/src/include/reachlead/routingdelta.h
+++ b/src/include/reachlead/routingdelta.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What changed between two configurations, so that gateways need not tell each other whole ones.
+/// Differences between configurations, so that gateways need not send each other whole ones.
 
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace reachlead {
 
-/// The way from one configuration to a later one. Items are known by their names.
+/// The difference between a configuration and a later one. Items are identified by name.
 struct RoutingDelta
 {
-    std::uint64_t baseVersion = 0; ///< version that it starts from
-    std::uint64_t version = 0; ///< version that it leads to
+    std::uint64_t baseVersion = 0; ///< version that it applies to
+    std::uint64_t version = 0; ///< version that it results in
     std::vector<Route> routes; ///< new or changed
     std::vector<std::string> removedRoutes;
     std::vector<ServiceInfo> services; ///< new or changed
@@ -34,10 +34,11 @@
     }
 };
 
-/// The difference; nothing when two items of one kind share a name, as it could not be told then.
+/// The delta between two configurations; empty if two items of one kind share a name, as items are
+/// identified by name.
 std::optional<RoutingDelta> computeDelta(const RoutingConfig &from, const RoutingConfig &to);
 
-/// The configuration that \p delta leads to; nothing when it starts from another version.
-std::optional<RoutingConfig> applied(const RoutingConfig &base, const RoutingDelta &delta);
+/// \p base with \p delta applied; empty if the delta applies to another version.
+std::optional<RoutingConfig> applyDelta(const RoutingConfig &base, const RoutingDelta &delta);
 
 } // namespace reachlead
--- a/src/libreachlead/gatewaystate.cpp
+++ b/src/libreachlead/gatewaystate.cpp
@@ -26,19 +26,19 @@
 } // namespace
 
 GatewayState::GatewayState(const Options &options)
-    : m_options(options), m_book(options.zone, options.costs), m_groups(options.groupSize),
-      m_retries(options.retries), m_duty(options.vm, options.watcherElection)
+    : m_options(options), m_upstreams(options.zone, options.costs), m_groups(options.groupSize),
+      m_retries(options.retries), m_watcherElection(options.vm, options.watcherElection)
 {
-    setLiveGateways(m_heardGateways);
-    m_duty.start(now());
+    setLiveGateways(m_liveGateways);
+    m_watcherElection.start(now());
 }
 
 void GatewayState::configRead(RoutingConfig config)
 {
-    adopt(std::move(config), "platform");
+    applyConfig(std::move(config), "platform");
 }
 
-void GatewayState::adopt(RoutingConfig config, std::string_view source)
+void GatewayState::applyConfig(RoutingConfig config, std::string_view source)
 {
     const std::uint64_t held = configVersion();
     if (config.version <= held)
@@ -60,12 +60,12 @@
 
 void GatewayState::upstreamsListed(std::vector<UpstreamEntry> entries, std::uint64_t revision)
 {
-    noteChange(m_directory.replaceAll(entries, revision, now()), "platform");
+    handleChange(m_directory.replaceAll(entries, revision, now()), "platform");
 }
 
 void GatewayState::upstreamsChanged(std::vector<UpstreamChange> changes, std::uint64_t revision)
 {
-    noteChange(m_directory.applyChanges(changes, revision, now()), "platform");
+    handleChange(m_directory.applyChanges(changes, revision, now()), "platform");
 }
 
 void GatewayState::gatewaysChanged(GatewayRoster roster)
@@ -73,7 +73,7 @@
     if (roster.revision <= m_roster.revision)
         return;
     m_roster = std::move(roster);
-    setLiveGateways(m_heardGateways);
+    setLiveGateways(m_liveGateways);
     LogLine(LogLevel::Info, "gateways-changed").with("gateways", m_roster.gateways.size());
 }
 
@@ -83,9 +83,9 @@
         applyEvacuations("platform");
 }
 
-/// Takes the evacuated zones' upstreams out of use, and the others' in again. Those that return may
-/// have become cold meanwhile: what their entries say of it may come later than the end of the
-/// evacuation, as the two are followed apart.
+/// Takes the upstreams of evacuated zones out of use and those of other zones back into use. The
+/// latter may have become cold meanwhile. Their registry entries may report that only after the end
+/// of the evacuation was read, as registry and evacuations are followed separately.
 void GatewayState::applyEvacuations(std::string_view source)
 {
     const ZoneSet &zones = m_evacuations.zones();
@@ -96,19 +96,19 @@
         .with("source", source);
     const UpstreamDirectory::UsableChanges changed = m_directory.setEvacuated(zones);
     std::ranges::for_each(changed.added,
-                          [this](const UpstreamId &id) { m_book.mayBeCold(id, now()); });
-    const bool isTold = !changed.added.empty() || !changed.withdrawn.empty();
-    noteChange(changed, source);
-    if (!isTold && m_onChange)
-        m_onChange(); // no upstream is known there yet: the next gateways must hear of it
+                          [this](const UpstreamId &id) { m_upstreams.mayBeCold(id, now()); });
+    const bool isReported = !changed.added.empty() || !changed.withdrawn.empty();
+    handleChange(changed, source);
+    if (!isReported && m_onChange)
+        m_onChange(); // affects no upstream known here, but peers must receive the evacuations
 }
 
-void GatewayState::setLiveGateways(std::size_t heard)
+void GatewayState::setLiveGateways(std::size_t count)
 {
-    m_heardGateways = heard;
-    const std::size_t gateways = std::max({heard, m_roster.gateways.size(), m_options.minGateways});
+    m_liveGateways = count;
+    const std::size_t gateways = std::max({count, m_roster.gateways.size(), m_options.minGateways});
     m_retries.setGatewayCount(gateways);
-    m_book.setFleet(gateways, std::hash<VmName>{}(vm()));
+    m_upstreams.setFleet(gateways, std::hash<VmName>{}(vm()));
 }
 
 void GatewayState::contactChanged(bool inContact)
@@ -128,13 +128,13 @@
 
 void GatewayState::caughtUp()
 {
-    noteCurrent(now());
+    setCurrentAt(now());
 }
 
-/// The state was current at \p at. Where it had become old before, the others' may have as well, so
-/// they hear of it at once: without that the end of all that watched would make each of the others
-/// read the store.
-void GatewayState::noteCurrent(Time at)
+/// Records that the state was current at \p at. If it had become old before, that of the peers may
+/// have as well, so they are notified at once: otherwise each of them would read the store after
+/// the loss of all watchers.
+void GatewayState::setCurrentAt(Time at)
 {
     if (m_currentAt && at <= *m_currentAt)
         return;
@@ -166,68 +166,68 @@
 GatewayState::NoticeChanges GatewayState::applyNotice(const UpstreamId &id,
                                                       const UpstreamNotice &notice)
 {
-    NoticeChanges news;
+    NoticeChanges changes;
     const UnixMillis stamp = m_timeOfDay();
-    news.hasNewLimit =
-        notice.isLimitValid && m_book.limits().recordAnswer(id, notice.limit, now(), stamp);
-    if (news.hasNewLimit)
+    changes.hasNewLimit =
+        notice.isLimitValid && m_upstreams.limits().recordAnswer(id, notice.limit, now(), stamp);
+    if (changes.hasNewLimit)
         logLimit({id, notice.limit, stamp}, "answer");
-    news.isNewlyLeaving = notice.isLeaving && !m_directory.leaving().contains(id);
-    if (news.isNewlyLeaving)
-        noteChange(m_directory.setLeaving(id, now()), "answer");
-    news.hasBackoff = notice.retryAfter.has_value();
-    if (news.hasBackoff) {
-        m_book.backoffs().add(id, *notice.retryAfter, now());
+    changes.isNewlyLeaving = notice.isLeaving && !m_directory.leaving().contains(id);
+    if (changes.isNewlyLeaving)
+        handleChange(m_directory.setLeaving(id, now()), "answer");
+    changes.hasBackoff = notice.retryAfter.has_value();
+    if (changes.hasBackoff) {
+        m_upstreams.backoffs().add(id, *notice.retryAfter, now());
         LogLine(LogLevel::Info, "upstream-backoff")
             .with("upstream", id.text)
             .with("born", id.startedAt)
             .with("for_ms", static_cast<std::int64_t>(toMillis(*notice.retryAfter)));
     }
-    return news;
+    return changes;
 }
 
 void GatewayState::learnLeaving(const std::vector<UpstreamId> &ids, const VmName &peer)
 {
     for (const UpstreamId &id : ids)
-        noteChange(m_directory.setLeaving(id, now()), peer.text);
+        handleChange(m_directory.setLeaving(id, now()), peer.text);
 }
 
 void GatewayState::learnLimits(const std::vector<LimitUpdate> &notes, const VmName &peer)
 {
     for (const LimitUpdate &note : notes) {
-        if (m_book.limits().applyUpdate(note, now()))
+        if (m_upstreams.limits().applyUpdate(note, now()))
             logLimit(note, peer.text);
     }
 }
 
 void GatewayState::confirmed(Time at)
 {
-    m_duty.confirmed(at);
-    noteCurrent(at);
+    m_watcherElection.confirmed(at);
+    setCurrentAt(at);
 }
 
 bool GatewayState::isConfirmed() const
 {
-    return !m_duty.isStale(now());
+    return !m_watcherElection.isStale(now());
 }
 
 bool GatewayState::shouldWatch(const std::set<VmName> &peers) const
 {
-    return m_duty.isWatcher(peers, now());
+    return m_watcherElection.isWatcher(peers, now());
 }
 
-void GatewayState::applyPeerUpdate(const VmName &peer, const StateUpdate &news)
+void GatewayState::applyPeerUpdate(const VmName &peer, const StateUpdate &update)
 {
-    if (news.config)
-        adopt(*news.config, peer.text);
-    if (news.configChange && m_table) {
-        if (auto config = applied(m_table->config(), *news.configChange))
-            adopt(std::move(*config), peer.text);
+    if (update.config)
+        applyConfig(*update.config, peer.text);
+    if (update.configChange && m_table) {
+        if (auto config = applyDelta(m_table->config(), *update.configChange))
+            applyConfig(std::move(*config), peer.text);
     }
-    gatewaysChanged(news.roster);
-    if (m_evacuations.applyUpdate(news.evacuations))
+    gatewaysChanged(update.roster);
+    if (m_evacuations.applyUpdate(update.evacuations))
         applyEvacuations(peer.text);
-    noteChange(m_directory.applyUpdate(news.registry, now()), peer.text);
+    handleChange(m_directory.applyUpdate(update.registry, now()), peer.text);
 }
 
 StateVersions GatewayState::versions() const
@@ -238,27 +238,27 @@
 
 StateUpdate GatewayState::updateSince(const StateVersions &known) const
 {
-    StateUpdate news;
+    StateUpdate update;
     if (m_table && m_table->version() > known.config) {
         const auto it = std::ranges::find(m_formerTables, known.config, &RouteTable::version);
         if (it != m_formerTables.end())
-            news.configChange = computeDelta((*it)->config(), m_table->config());
-        if (!news.configChange)
-            news.config = m_table->config();
+            update.configChange = computeDelta((*it)->config(), m_table->config());
+        if (!update.configChange)
+            update.config = m_table->config();
     }
-    news.registry = m_directory.updateSince(known.registry, now(), known.registryDigest);
-    news.evacuations = m_evacuations.updateSince(known.evacuations);
+    update.registry = m_directory.updateSince(known.registry, now(), known.registryDigest);
+    update.evacuations = m_evacuations.updateSince(known.evacuations);
     if (m_roster.revision > known.roster)
-        news.roster = m_roster;
-    return news;
+        update.roster = m_roster;
+    return update;
 }
 
 void GatewayState::tick()
 {
-    noteChange(m_directory.expire(now()), "missing-after-outage");
+    handleChange(m_directory.expire(now()), "missing-after-outage");
     m_crashes.dropExpired(now());
-    m_book.limits().dropExpired(now());
-    m_book.backoffs().dropExpired(now());
+    m_upstreams.limits().dropExpired(now());
+    m_upstreams.backoffs().dropExpired(now());
 }
 
 bool GatewayState::isReady() const
@@ -268,13 +268,13 @@
     return m_table != nullptr && !m_directory.entries().empty();
 }
 
-void GatewayState::noteChange(const UpstreamDirectory::UsableChanges &changed,
-                              std::string_view source)
+void GatewayState::handleChange(const UpstreamDirectory::UsableChanges &changed,
+                                std::string_view source)
 {
     if (changed.added.empty() && changed.withdrawn.empty())
         return;
     for (const UpstreamId &id : changed.added) {
-        const UpstreamEntry *entry = m_directory.find(id); // null: gone again in the same batch
+        const UpstreamEntry *entry = m_directory.find(id); // null: removed again in the same batch
         LogLine(LogLevel::Info, "upstream-added")
             .with("upstream", id.text)
             .with("born", id.startedAt)
@@ -290,11 +290,11 @@
             .with("source", source)
             .with("revision", m_directory.revision());
     }
-    m_book.removeUnlisted(m_directory);
+    m_upstreams.removeUnlisted(m_directory);
     if (m_onChange)
         m_onChange();
-    if (m_onLeft && !changed.withdrawn.empty())
-        m_onLeft(changed.withdrawn);
+    if (m_onUpstreamsWithdrawn && !changed.withdrawn.empty())
+        m_onUpstreamsWithdrawn(changed.withdrawn);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/gatewaystate_test.cpp
+++ b/src/libreachlead/gatewaystate_test.cpp
@@ -8,18 +8,18 @@
 
 namespace reachlead {
 
-/// What a gateway believes when the platform and its peers tell it different things.
+/// A gateway's state when it receives different updates from the platform and from peers.
 class GatewayStateTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(GatewayStateTest);
     CPPUNIT_TEST(configurationNeverGoesBack);
-    CPPUNIT_TEST(peersTellWhatThePlatformDoesNot);
-    CPPUNIT_TEST(olderNewsOfAPeerChangesNothing);
-    CPPUNIT_TEST(upstreamMayComeAndGoInOneBatch);
-    CPPUNIT_TEST(newsTellChangesWhereTheyCan);
-    CPPUNIT_TEST(newsTellAllToOneTooFarBehind);
+    CPPUNIT_TEST(peerUpdateIsAppliedWithoutThePlatform);
+    CPPUNIT_TEST(olderUpdateOfAPeerIsIgnored);
+    CPPUNIT_TEST(upstreamMayBeAddedAndRemovedInOneBatch);
+    CPPUNIT_TEST(updateHasChangesIfTheyAreKnown);
+    CPPUNIT_TEST(updateHasTheWholeStateForOneTooFarBehind);
     CPPUNIT_TEST(readyNeedsConfigurationAndUpstreams);
-    CPPUNIT_TEST(vouchedStateIsAsOldAsThePeerSays);
+    CPPUNIT_TEST(confirmedStateHasTheAgeThatThePeerReports);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -51,35 +51,36 @@
         state.configRead(config(5));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, state.configVersion());
         CPPUNIT_ASSERT(held == state.table());
-        state.configRead(config(19)); // versions may leave gaps
+        state.configRead(config(19)); // versions may have gaps
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{19}, state.configVersion());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, held->version()); // a call keeps what it began with
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7},
+                             held->version()); // a call keeps the one that it started with
     }
 
-    void peersTellWhatThePlatformDoesNot()
+    void peerUpdateIsAppliedWithoutThePlatform()
     {
         GatewayState state({});
         state.contactChanged(false);
-        StateUpdate news;
-        news.config = config(3);
-        news.registry.snapshot = {entry("a")};
-        news.registry.revision = 12;
-        state.applyPeerUpdate(VmName("peer"), news);
+        StateUpdate update;
+        update.config = config(3);
+        update.registry.snapshot = {entry("a")};
+        update.registry.revision = 12;
+        state.applyPeerUpdate(VmName("peer"), update);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, state.configVersion());
         CPPUNIT_ASSERT(state.directory().find(UpstreamId("a")) != nullptr);
         CPPUNIT_ASSERT(state.isReady());
     }
 
-    void olderNewsOfAPeerChangesNothing()
+    void olderUpdateOfAPeerIsIgnored()
     {
         GatewayState state({});
         state.configRead(config(7));
         state.upstreamsListed({entry("a")}, 20);
-        StateUpdate news;
-        news.config = config(6);
-        news.registry.snapshot = {entry("b")};
-        news.registry.revision = 20;
-        state.applyPeerUpdate(VmName("peer"), news);
+        StateUpdate update;
+        update.config = config(6);
+        update.registry.snapshot = {entry("b")};
+        update.registry.revision = 20;
+        state.applyPeerUpdate(VmName("peer"), update);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, state.configVersion());
         CPPUNIT_ASSERT(state.directory().find(UpstreamId("b")) == nullptr);
     }
@@ -95,57 +96,57 @@
         return made;
     }
 
-    void upstreamMayComeAndGoInOneBatch()
+    void upstreamMayBeAddedAndRemovedInOneBatch()
     {
         GatewayState state({});
         state.upstreamsListed({entry("a")}, 20);
-        UpstreamChange come;
-        come.entry = entry("b");
-        UpstreamChange go = come;
-        go.removed = true;
-        setLogLevel(LogLevel::Info); // the line of what came is the place where it was not found
-        state.upstreamsChanged({come, go}, 22);
+        UpstreamChange addition;
+        addition.entry = entry("b");
+        UpstreamChange removal = addition;
+        removal.removed = true;
+        setLogLevel(LogLevel::Info); // the log line of an added upstream looks the entry up
+        state.upstreamsChanged({addition, removal}, 22);
         setLogLevel(LogLevel::Error);
         CPPUNIT_ASSERT(state.directory().find(UpstreamId("b")) == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{22}, state.directory().revision());
     }
 
-    void newsTellChangesWhereTheyCan()
+    void updateHasChangesIfTheyAreKnown()
     {
-        GatewayState teller({});
-        GatewayState hearer({});
-        for (GatewayState *state : {&teller, &hearer}) {
+        GatewayState sender({});
+        GatewayState receiver({});
+        for (GatewayState *state : {&sender, &receiver}) {
             state->configRead(withRoutes(3, 10));
             state->upstreamsListed({entry("a"), entry("b")}, 20);
         }
-        teller.configRead(withRoutes(4, 11));
-        UpstreamChange gone;
-        gone.entry = entry("a");
-        gone.removed = true;
-        teller.upstreamsChanged({gone}, 21);
-        const StateUpdate news = teller.updateSince({3, 20});
-        CPPUNIT_ASSERT(!news.config && !news.registry.snapshot);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.configChange->routes.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.registry.changes.size());
-        hearer.applyPeerUpdate(VmName("peer"), news);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, hearer.configVersion());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{11}, hearer.table()->config().routes.size());
-        CPPUNIT_ASSERT(hearer.directory().find(UpstreamId("a")) == nullptr);
-        CPPUNIT_ASSERT(hearer.directory().find(UpstreamId("b")) != nullptr);
+        sender.configRead(withRoutes(4, 11));
+        UpstreamChange removal;
+        removal.entry = entry("a");
+        removal.removed = true;
+        sender.upstreamsChanged({removal}, 21);
+        const StateUpdate update = sender.updateSince({3, 20});
+        CPPUNIT_ASSERT(!update.config && !update.registry.snapshot);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.configChange->routes.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.registry.changes.size());
+        receiver.applyPeerUpdate(VmName("peer"), update);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, receiver.configVersion());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{11}, receiver.table()->config().routes.size());
+        CPPUNIT_ASSERT(receiver.directory().find(UpstreamId("a")) == nullptr);
+        CPPUNIT_ASSERT(receiver.directory().find(UpstreamId("b")) != nullptr);
     }
 
-    void newsTellAllToOneTooFarBehind()
+    void updateHasTheWholeStateForOneTooFarBehind()
     {
-        GatewayState teller({});
+        GatewayState sender({});
         for (std::uint64_t version = 1; version <= GatewayState::maxFormerTables + 2; ++version)
-            teller.configRead(withRoutes(version, 2));
-        teller.upstreamsListed({entry("a")}, 20);
-        const StateUpdate news = teller.updateSince({1, 7});
-        CPPUNIT_ASSERT(news.config && news.registry.snapshot);
+            sender.configRead(withRoutes(version, 2));
+        sender.upstreamsListed({entry("a")}, 20);
+        const StateUpdate update = sender.updateSince({1, 7});
+        CPPUNIT_ASSERT(update.config && update.registry.snapshot);
         GatewayState fresh({});
-        fresh.applyPeerUpdate(VmName("peer"), news);
+        fresh.applyPeerUpdate(VmName("peer"), update);
         CPPUNIT_ASSERT(fresh.isReady());
-        // Changes that begin behind what is held are of no use.
+        // Changes from a later revision than the current one are ignored.
         GatewayState behind({});
         behind.upstreamsListed({entry("b")}, 5);
         StateUpdate gap;
@@ -165,7 +166,7 @@
         CPPUNIT_ASSERT(state.isReady());
     }
 
-    void vouchedStateIsAsOldAsThePeerSays()
+    void confirmedStateHasTheAgeThatThePeerReports()
     {
         GatewayState state({});
         CPPUNIT_ASSERT(!state.currentAt());
--- a/src/libreachlead/routingdelta.cpp
+++ b/src/libreachlead/routingdelta.cpp
@@ -13,7 +13,7 @@
 
 template <class Item> using Index = std::map<decltype(Item::name), const Item *>;
 
-template <class Item> Index<Item> indexOf(const std::vector<Item> &items)
+template <class Item> Index<Item> indexByName(const std::vector<Item> &items)
 {
     Index<Item> index;
     for (const Item &item : items)
@@ -21,13 +21,13 @@
     return index;
 }
 
-/// Fills in what is new or changed and what is gone; false when names are not unique.
+/// Collects new and changed items and the names of removed ones; false if names are not unique.
 template <class Item>
 bool compare(const std::vector<Item> &from, const std::vector<Item> &to, std::vector<Item> *changed,
-             std::vector<decltype(Item::name)> *gone)
+             std::vector<decltype(Item::name)> *removed)
 {
-    const Index<Item> before = indexOf(from);
-    const Index<Item> after = indexOf(to);
+    const Index<Item> before = indexByName(from);
+    const Index<Item> after = indexByName(to);
     if (before.size() != from.size() || after.size() != to.size())
         return false;
     std::ranges::copy_if(to, std::back_inserter(*changed), [&](const Item &item) {
@@ -36,19 +36,20 @@
     });
     for (const Item &item : from) {
         if (!after.contains(item.name))
-            gone->push_back(item.name);
+            removed->push_back(item.name);
     }
     return true;
 }
 
 template <class Item>
 std::vector<Item> merged(const std::vector<Item> &base, const std::vector<Item> &changed,
-                         const std::vector<decltype(Item::name)> &gone)
+                         const std::vector<decltype(Item::name)> &removed)
 {
-    const Index<Item> newer = indexOf(changed);
+    const Index<Item> changedByName = indexByName(changed);
     std::vector<Item> all;
     std::ranges::copy_if(base, std::back_inserter(all), [&](const Item &item) {
-        return !newer.contains(item.name) && std::ranges::find(gone, item.name) == gone.end();
+        return !changedByName.contains(item.name)
+            && std::ranges::find(removed, item.name) == removed.end();
     });
     std::ranges::copy(changed, std::back_inserter(all));
     return all;
@@ -62,23 +63,23 @@
     delta.baseVersion = from.version;
     delta.version = to.version;
     delta.limits = to.limits;
-    const bool good = compare(from.routes, to.routes, &delta.routes, &delta.removedRoutes)
+    const bool namesAreUnique = compare(from.routes, to.routes, &delta.routes, &delta.removedRoutes)
         && compare(from.services, to.services, &delta.services, &delta.removedServices)
         && compare(from.accounts, to.accounts, &delta.accounts, &delta.removedAccounts);
-    return good ? std::optional(std::move(delta)) : std::nullopt;
+    return namesAreUnique ? std::optional(std::move(delta)) : std::nullopt;
 }
 
-std::optional<RoutingConfig> applied(const RoutingConfig &base, const RoutingDelta &delta)
+std::optional<RoutingConfig> applyDelta(const RoutingConfig &base, const RoutingDelta &delta)
 {
     if (base.version != delta.baseVersion)
         return std::nullopt;
-    RoutingConfig made;
-    made.version = delta.version;
-    made.limits = delta.limits;
-    made.routes = merged(base.routes, delta.routes, delta.removedRoutes);
-    made.services = merged(base.services, delta.services, delta.removedServices);
-    made.accounts = merged(base.accounts, delta.accounts, delta.removedAccounts);
-    return made;
+    RoutingConfig config;
+    config.version = delta.version;
+    config.limits = delta.limits;
+    config.routes = merged(base.routes, delta.routes, delta.removedRoutes);
+    config.services = merged(base.services, delta.services, delta.removedServices);
+    config.accounts = merged(base.accounts, delta.accounts, delta.removedAccounts);
+    return config;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/routingdelta_test.cpp
+++ b/src/libreachlead/routingdelta_test.cpp
@@ -12,17 +12,18 @@
 
 namespace reachlead {
 
-/// A configuration that is told by what changed is the one that was meant.
+/// A delta applied to the older configuration results in the newer one.
 class RoutingDeltaTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RoutingDeltaTest);
-    CPPUNIT_TEST(differenceLeadsToTheNewerOne);
-    CPPUNIT_TEST(unchangedItemsAreNotTold);
+    CPPUNIT_TEST(deltaResultsInTheNewerConfiguration);
+    CPPUNIT_TEST(unchangedItemsAreNotInTheDelta);
     CPPUNIT_TEST(otherBaseIsRefused);
-    CPPUNIT_TEST(sharedNamesCannotBeTold);
+    CPPUNIT_TEST(sharedNamesHaveNoDelta);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Routes, services and accounts, each by number with a value; 0 leaves it out.
+    /// A configuration of routes, services and accounts numbered by position; value 0 omits an
+    /// item.
     static RoutingConfig made(std::uint64_t version, const std::vector<unsigned char> &values)
     {
         RoutingConfig config;
@@ -60,7 +61,7 @@
             && sorted(one.accounts) == sorted(two.accounts);
     }
 
-    void differenceLeadsToTheNewerOne()
+    void deltaResultsInTheNewerConfiguration()
     {
         using Values = std::vector<unsigned char>;
         CPPUNIT_ASSERT(rc::check("any two", [](const Values &before, const Values &after) {
@@ -68,13 +69,13 @@
             const RoutingConfig to = made(9, after);
             const auto delta = computeDelta(from, to);
             RC_ASSERT(delta.has_value());
-            const auto result = applied(from, *delta);
+            const auto result = applyDelta(from, *delta);
             RC_ASSERT(result.has_value());
             RC_ASSERT(isSame(*result, to));
         }));
     }
 
-    void unchangedItemsAreNotTold()
+    void unchangedItemsAreNotInTheDelta()
     {
         const auto delta = computeDelta(made(1, {1, 2, 3, 1}), made(2, {1, 2, 1, 0}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, delta->routes.size());
@@ -86,10 +87,10 @@
     void otherBaseIsRefused()
     {
         const auto delta = computeDelta(made(1, {1}), made(2, {2}));
-        CPPUNIT_ASSERT(!applied(made(3, {1}), *delta));
+        CPPUNIT_ASSERT(!applyDelta(made(3, {1}), *delta));
     }
 
-    void sharedNamesCannotBeTold()
+    void sharedNamesHaveNoDelta()
     {
         RoutingConfig twice = made(2, {1});
         twice.routes.push_back(twice.routes.front());
