--- a/src/include/reachlead/pendingqueries.h
+++ b/src/include/reachlead/pendingqueries.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The questions of a gateway about where its calls are to be placed.
+/// A gateway's queries to the gateways that place its calls.
 
 #pragma once
 
@@ -16,43 +16,43 @@
 
 namespace reachlead {
 
-/// Decides whom to ask, and numbers the questions. Not thread-safe, reads no clock.
+/// Selects the gateway to query and assigns query ids. Not thread-safe, reads no clock.
 ///
-/// Nobody is relied on: a gateway that did not answer is passed over for a while, and the next in
-/// rank is asked. So for moments two gateways may place for one group, which only makes their
-/// choices worse.
+/// A gateway that did not reply is skipped for a while, and the next one in rendezvous order is
+/// queried. For a moment two gateways may thus place calls of one group, which only makes their
+/// selections worse.
 class PendingQueries
 {
 public:
     explicit PendingQueries(VmName self) : m_self(std::move(self)) { }
 
-    /// The gateway to ask for a group, of the \p strong ones, or of \p all if these are silent; it
-    /// may be this one.
+    /// The gateway to query for a group: one of \p strong, or of \p all if those are all
+    /// unresponsive. May be this gateway.
     VmName schedulerFor(const GroupName &group, const std::set<VmName> &strong,
                         const std::set<VmName> &all, Time now) const;
 
-    /// A question is asked of \p scheduler; its number.
+    /// Adds a query to \p scheduler and returns its id.
     QueryId open(const VmName &scheduler);
 
-    /// An answer came, in time or not. False for a question that is not open any more.
-    bool replyReceived(QueryId number, const VmName &scheduler);
+    /// A reply arrived, in time or late. False if no query with this id to \p scheduler is pending.
+    bool replyReceived(QueryId id, const VmName &scheduler);
 
-    /// The question's outcome is in this gateway's own load, or will never be.
-    void conclude(QueryId number) { m_open.erase(number); }
+    /// The query's outcome is included in this gateway's own load, or never will be.
+    void conclude(QueryId id) { m_pending.erase(id); }
 
-    /// No answer came in time, or the scheduler declined.
-    void queryFailed(QueryId number, Time now);
+    /// No reply arrived in time, or the scheduler declined.
+    void queryFailed(QueryId id, Time now);
 
-    /// All questions before this one are concluded.
+    /// The id of the oldest pending query, or the next id to be assigned: all before are concluded.
     QueryId oldestPendingQuery() const;
 
-    std::size_t pendingCount() const { return m_open.size(); }
+    std::size_t pendingCount() const { return m_pending.size(); }
 
 private:
     VmName m_self;
-    QueryId m_last = 0;
-    std::map<QueryId, VmName> m_open;
-    UnresponsiveGateways m_silent;
+    QueryId m_lastId = 0;
+    std::map<QueryId, VmName> m_pending;
+    UnresponsiveGateways m_unresponsive;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/unresponsivegateways.h
+++ b/src/include/reachlead/unresponsivegateways.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Gateways that lately left a question without an answer.
+/// Gateways that recently did not reply to a query.
 
 #pragma once
 
@@ -13,36 +13,36 @@
 
 namespace reachlead {
 
-/// Remembers who did not answer, so that only the first call in a while waits for a gateway that
-/// is gone, frozen or cut off. Not thread-safe, reads no clock.
+/// Tracks gateways that did not reply, so that only the first call in each backoff waits for a
+/// gateway that has exited, is frozen or is partitioned. Not thread-safe, reads no clock.
 class UnresponsiveGateways
 {
 public:
-    /// How long a gateway is not asked after its first missed answer; doubles with each further
-    /// one. A process that was killed is back after some seconds.
+    /// How long a gateway is not queried after its first missing reply; doubles with each further
+    /// one. A killed process is restarted within seconds.
     static constexpr Duration initialBackoff = seconds(1);
     static constexpr Duration maxBackoff = seconds(8);
 
-    /// A question was not answered in time, or was declined.
+    /// No reply to a query arrived in time, or the gateway declined it.
     void recordFailure(const VmName &vm, Time now);
 
-    /// An answer came, in time or not.
-    void recordReply(const VmName &vm) { m_silent.erase(vm); }
+    /// A reply arrived, in time or late.
+    void recordReply(const VmName &vm) { m_backoffs.erase(vm); }
 
-    /// True when any gateway is passed over.
+    /// True while any gateway is to be skipped.
     bool hasAny(Time now) const;
 
-    /// True while the gateway is not to be asked.
+    /// True while the gateway is not to be queried.
     bool isUnresponsive(const VmName &vm, Time now) const;
 
 private:
-    struct Silence
+    struct Backoff
     {
         Time until;
-        Duration pause{};
+        Duration duration{};
     };
 
-    std::map<VmName, Silence> m_silent;
+    std::map<VmName, Backoff> m_backoffs;
 };
 
 } // namespace reachlead
--- a/src/libreachlead/pendingqueries.cpp
+++ b/src/libreachlead/pendingqueries.cpp
@@ -11,41 +11,41 @@
 VmName PendingQueries::schedulerFor(const GroupName &group, const std::set<VmName> &strong,
                                     const std::set<VmName> &all, Time now) const
 {
-    if (!strong.empty() && !m_silent.hasAny(now))
+    if (!strong.empty() && !m_unresponsive.hasAny(now))
         return *electScheduler(group, strong);
-    const auto isAwake = [&](const VmName &vm) {
-        return vm == m_self || !m_silent.isUnresponsive(vm, now);
+    const auto isResponsive = [&](const VmName &vm) {
+        return vm == m_self || !m_unresponsive.isUnresponsive(vm, now);
     };
-    std::set<VmName> asked;
-    std::ranges::copy_if(strong, std::inserter(asked, asked.end()), isAwake);
-    if (asked.empty())
-        std::ranges::copy_if(all, std::inserter(asked, asked.end()), isAwake);
-    return electScheduler(group, asked).value_or(m_self);
+    std::set<VmName> candidates;
+    std::ranges::copy_if(strong, std::inserter(candidates, candidates.end()), isResponsive);
+    if (candidates.empty())
+        std::ranges::copy_if(all, std::inserter(candidates, candidates.end()), isResponsive);
+    return electScheduler(group, candidates).value_or(m_self);
 }
 
 QueryId PendingQueries::open(const VmName &scheduler)
 {
-    m_open.emplace(++m_last, scheduler);
-    return m_last;
+    m_pending.emplace(++m_lastId, scheduler);
+    return m_lastId;
 }
 
-bool PendingQueries::replyReceived(QueryId number, const VmName &scheduler)
+bool PendingQueries::replyReceived(QueryId id, const VmName &scheduler)
 {
-    m_silent.recordReply(scheduler);
-    const auto it = m_open.find(number);
-    return it != m_open.end() && it->second == scheduler;
+    m_unresponsive.recordReply(scheduler);
+    const auto it = m_pending.find(id);
+    return it != m_pending.end() && it->second == scheduler;
 }
 
-void PendingQueries::queryFailed(QueryId number, Time now)
+void PendingQueries::queryFailed(QueryId id, Time now)
 {
-    if (const auto it = m_open.find(number); it != m_open.end())
-        m_silent.recordFailure(it->second, now);
-    conclude(number);
+    if (const auto it = m_pending.find(id); it != m_pending.end())
+        m_unresponsive.recordFailure(it->second, now);
+    conclude(id);
 }
 
 QueryId PendingQueries::oldestPendingQuery() const
 {
-    return m_open.empty() ? m_last + 1 : m_open.begin()->first;
+    return m_pending.empty() ? m_lastId + 1 : m_pending.begin()->first;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/placementgroups.cpp
+++ b/src/libreachlead/placementgroups.cpp
@@ -14,20 +14,20 @@
 
 namespace {
 
-/// Sets the hash of groups apart from those of homes and quiet engines.
+/// Separates the hash of groups from those of preferred upstreams and dedicated engines.
 constexpr std::uint64_t groupSalt = 0x67726f75; // "grou"
 
-std::uint64_t hashOf(const std::string &text, std::uint64_t seed)
+std::uint64_t hashText(const std::string &text, std::uint64_t seed)
 {
     return XXH64(text.data(), text.size(), seed);
 }
 
-/// The group of an upstream by rendezvous hashing, so that one group more or less moves only the
-/// upstreams of that group.
-std::uint16_t numberOf(const UpstreamId &id, std::size_t groups)
+/// The group of an upstream by rendezvous hashing, so that adding or removing a group moves only
+/// the upstreams of that group.
+std::uint16_t groupNumber(const UpstreamId &id, std::size_t groups)
 {
     const auto numbers = std::views::iota(std::size_t{0}, groups);
-    const auto score = [&](std::size_t n) { return hashOf(id.text, groupSalt + n); };
+    const auto score = [&](std::size_t n) { return hashText(id.text, groupSalt + n); };
     return static_cast<std::uint16_t>(*std::ranges::max_element(numbers, {}, score));
 }
 
@@ -38,7 +38,7 @@
 {
     const std::size_t groups = std::max<std::size_t>(1, upstreams.size() / m_size);
     for (const UpstreamEntry *entry : upstreams) {
-        const GroupName group{service, numberOf(entry->id, groups)};
+        const GroupName group{service, groupNumber(entry->id, groups)};
         m_members[group].insert(entry->id);
         m_groups.emplace(entry->id, group);
     }
@@ -46,9 +46,9 @@
 
 void PlacementGroups::refresh(const UpstreamDirectory &directory)
 {
-    if (m_madeAt == directory.changeCount())
+    if (m_builtAt == directory.changeCount())
         return;
-    m_madeAt = directory.changeCount();
+    m_builtAt = directory.changeCount();
     m_members.clear();
     m_groups.clear();
     std::set<ServiceName> services;
@@ -66,8 +66,8 @@
     PromptKey key = 0;
     if (!prompt.empty())
         key = prompt[prompt.size() < 2 ? 0 : prompt.size() - 2].key;
-    const std::optional<UpstreamId> home = preferredUpstream(key, upstreams);
-    return home ? findGroup(*home, directory) : std::nullopt;
+    const std::optional<UpstreamId> preferred = preferredUpstream(key, upstreams);
+    return preferred ? findGroup(*preferred, directory) : std::nullopt;
 }
 
 std::optional<GroupName> PlacementGroups::findGroup(const UpstreamId &id,
@@ -100,13 +100,13 @@
     return strong;
 }
 
-std::optional<VmName> electScheduler(const GroupName &group, const std::set<VmName> &among)
+std::optional<VmName> electScheduler(const GroupName &group, const std::set<VmName> &candidates)
 {
-    if (among.empty())
+    if (candidates.empty())
         return std::nullopt;
-    const std::uint64_t seed = hashOf(group.service.text, groupSalt + group.number);
-    const auto score = [&](const VmName &vm) { return hashOf(vm.text, seed); };
-    return *std::ranges::max_element(among, {}, score);
+    const std::uint64_t seed = hashText(group.service.text, groupSalt + group.number);
+    const auto score = [&](const VmName &vm) { return hashText(vm.text, seed); };
+    return *std::ranges::max_element(candidates, {}, score);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/placementgroups_test.cpp
+++ b/src/libreachlead/placementgroups_test.cpp
@@ -14,20 +14,20 @@
 
 namespace reachlead {
 
-/// Who places which calls, and who is asked when that one does not answer.
+/// Which gateway places which calls, and which one is queried if that one does not reply.
 class PlacementGroupsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlacementGroupsTest);
     CPPUNIT_TEST(everyUpstreamHasOneGroupOfAboutTheSize);
     CPPUNIT_TEST(callsOfOnePromptShareAGroup);
-    CPPUNIT_TEST(lostUpstreamMovesFewOthers);
+    CPPUNIT_TEST(lostUpstreamMovesNoOthers);
     CPPUNIT_TEST(lostGatewayMovesOnlyItsGroups);
     CPPUNIT_TEST(serviceWithoutUpstreamsHasNoGroup);
     CPPUNIT_TEST(strongGatewaysPlaceForTheOthers);
-    CPPUNIT_TEST(silentSchedulerIsPassedOverForAWhile);
-    CPPUNIT_TEST(questionsThatMissTogetherCountOnce);
-    CPPUNIT_TEST(openFromNamesTheOldestOpenQuestion);
-    CPPUNIT_TEST(answerOfAnotherGatewayIsNotTaken);
+    CPPUNIT_TEST(unresponsiveSchedulerIsSkippedForAWhile);
+    CPPUNIT_TEST(queriesThatFailTogetherCountOnce);
+    CPPUNIT_TEST(oldestPendingQueryIsReported);
+    CPPUNIT_TEST(replyOfAnotherGatewayIsNotAccepted);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -92,8 +92,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, calls.size());
     }
 
-    /// Groups keep their number as long as there are as many: of 179 others few move.
-    void lostUpstreamMovesFewOthers()
+    /// Upstreams keep their group while the number of groups stays the same: none of the other 179
+    /// moves.
+    void lostUpstreamMovesNoOthers()
     {
         const UpstreamDirectory before = directory(180);
         const UpstreamDirectory after = directory(180, 17);
@@ -111,8 +112,8 @@
             const VmName first = *electScheduler(group, all);
             std::set<VmName> others = all;
             others.erase(n % 2 == 0 ? first : VmName("g0"));
-            const VmName then = *electScheduler(group, others);
-            CPPUNIT_ASSERT_EQUAL(n % 2 == 1 && first != VmName("g0"), then == first);
+            const VmName next = *electScheduler(group, others);
+            CPPUNIT_ASSERT_EQUAL(n % 2 == 1 && first != VmName("g0"), next == first);
         }
         CPPUNIT_ASSERT(!electScheduler({service, 0}, {}));
     }
@@ -146,71 +147,71 @@
         std::set<VmName> all;
         for (const auto &[vm, share] : fleet)
             all.insert(vm);
-        PendingQueries asks(VmName("weak1"));
+        PendingQueries queries(VmName("weak1"));
         for (std::uint16_t n = 0; n < 20; ++n)
             CPPUNIT_ASSERT(
-                !asks.schedulerFor({service, n}, strong, all, start).text.starts_with("weak"));
-        // Once all strong ones are silent, a weak one is better than none.
+                !queries.schedulerFor({service, n}, strong, all, start).text.starts_with("weak"));
+        // If all strong gateways are unresponsive, a weak one is selected.
         for (const VmName &vm : strong)
-            asks.queryFailed(asks.open(vm), start);
+            queries.queryFailed(queries.open(vm), start);
         CPPUNIT_ASSERT(
-            asks.schedulerFor({service, 0}, strong, all, start).text.starts_with("weak"));
+            queries.schedulerFor({service, 0}, strong, all, start).text.starts_with("weak"));
     }
 
-    void silentSchedulerIsPassedOverForAWhile()
+    void unresponsiveSchedulerIsSkippedForAWhile()
     {
         const std::set<VmName> all = gateways(10);
         const GroupName group{service, 0};
-        PendingQueries asks(VmName("self"));
-        const VmName first = asks.schedulerFor(group, all, all, start);
-        asks.queryFailed(asks.open(first), start);
-        const VmName second = asks.schedulerFor(group, all, all, start);
+        PendingQueries queries(VmName("self"));
+        const VmName first = queries.schedulerFor(group, all, all, start);
+        queries.queryFailed(queries.open(first), start);
+        const VmName second = queries.schedulerFor(group, all, all, start);
         CPPUNIT_ASSERT(second != first);
         const Time later = start + UnresponsiveGateways::initialBackoff;
-        CPPUNIT_ASSERT(asks.schedulerFor(group, all, all, later) == first);
-        asks.queryFailed(asks.open(first), later); // the pause doubles
+        CPPUNIT_ASSERT(queries.schedulerFor(group, all, all, later) == first);
+        queries.queryFailed(queries.open(first), later); // doubles the backoff
         CPPUNIT_ASSERT(
-            asks.schedulerFor(group, all, all, later + UnresponsiveGateways::initialBackoff)
+            queries.schedulerFor(group, all, all, later + UnresponsiveGateways::initialBackoff)
             != first);
-        const QueryId late = asks.open(first);
-        asks.replyReceived(late, first); // and ends with a word of it
-        CPPUNIT_ASSERT(asks.schedulerFor(group, all, all, later) == first);
+        const QueryId lateQuery = queries.open(first);
+        queries.replyReceived(lateQuery, first); // ends the backoff
+        CPPUNIT_ASSERT(queries.schedulerFor(group, all, all, later) == first);
     }
 
-    void questionsThatMissTogetherCountOnce()
+    void queriesThatFailTogetherCountOnce()
     {
         const std::set<VmName> all = gateways(10);
         const GroupName group{service, 0};
-        PendingQueries asks(VmName("self"));
-        const VmName first = asks.schedulerFor(group, all, all, start);
+        PendingQueries queries(VmName("self"));
+        const VmName first = queries.schedulerFor(group, all, all, start);
         for (int n = 0; n < 20; ++n)
-            asks.queryFailed(asks.open(first), start);
+            queries.queryFailed(queries.open(first), start);
         CPPUNIT_ASSERT(
-            asks.schedulerFor(group, all, all, start + UnresponsiveGateways::initialBackoff)
+            queries.schedulerFor(group, all, all, start + UnresponsiveGateways::initialBackoff)
             == first);
     }
 
-    void openFromNamesTheOldestOpenQuestion()
+    void oldestPendingQueryIsReported()
     {
-        PendingQueries asks(VmName("g0"));
-        CPPUNIT_ASSERT_EQUAL(QueryId{1}, asks.oldestPendingQuery());
-        const QueryId one = asks.open(VmName("g1"));
-        const QueryId two = asks.open(VmName("g1"));
-        asks.conclude(two);
-        CPPUNIT_ASSERT_EQUAL(one, asks.oldestPendingQuery());
-        asks.conclude(one);
-        CPPUNIT_ASSERT_EQUAL(two + 1, asks.oldestPendingQuery());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asks.pendingCount());
+        PendingQueries queries(VmName("g0"));
+        CPPUNIT_ASSERT_EQUAL(QueryId{1}, queries.oldestPendingQuery());
+        const QueryId one = queries.open(VmName("g1"));
+        const QueryId two = queries.open(VmName("g1"));
+        queries.conclude(two);
+        CPPUNIT_ASSERT_EQUAL(one, queries.oldestPendingQuery());
+        queries.conclude(one);
+        CPPUNIT_ASSERT_EQUAL(two + 1, queries.oldestPendingQuery());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, queries.pendingCount());
     }
 
-    void answerOfAnotherGatewayIsNotTaken()
+    void replyOfAnotherGatewayIsNotAccepted()
     {
-        PendingQueries asks(VmName("g0"));
-        const QueryId number = asks.open(VmName("g1"));
-        CPPUNIT_ASSERT(!asks.replyReceived(number, VmName("g2")));
-        CPPUNIT_ASSERT(asks.replyReceived(number, VmName("g1")));
-        asks.conclude(number);
-        CPPUNIT_ASSERT(!asks.replyReceived(number, VmName("g1")));
+        PendingQueries queries(VmName("g0"));
+        const QueryId id = queries.open(VmName("g1"));
+        CPPUNIT_ASSERT(!queries.replyReceived(id, VmName("g2")));
+        CPPUNIT_ASSERT(queries.replyReceived(id, VmName("g1")));
+        queries.conclude(id);
+        CPPUNIT_ASSERT(!queries.replyReceived(id, VmName("g1")));
     }
 };
 
