--- a/src/include/reachlead/rosterpublisher.h
+++ b/src/include/reachlead/rosterpublisher.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// When the list of gateways that the platform keeps is to be written anew.
+/// Decides when the roster of gateways stored by the platform is rewritten.
 
 #pragma once
 
@@ -18,41 +18,44 @@
 /// Gateways by name.
 using Roster = std::map<VmName, GatewayEntry>;
 
-/// Decides for one gateway that watches the store whether to write the roster, by which gateways
-/// that start find the others. Not thread-safe, reads no clock.
+/// Decides for a gateway that watches the store whether to write the roster, from which starting
+/// gateways learn of the others. Not thread-safe, reads no clock.
 ///
-/// An entry that each gateway wrote of itself cost a call for each of them, all at the moment at
-/// which a fleet starts, and stayed for ever when its VM was gone. One list that those on watch
-/// write, of whom they hear, costs a few calls whatever the size of the fleet. Nothing is agreed:
-/// who hears less adds to what is there, so two writers that know different gateways end with all.
+/// Entries written by each gateway for itself would cost one call per gateway, all at the time when
+/// a fleet starts, and would stay forever after their VM was removed. A single list, written by the
+/// watchers from the gateways that they receive heartbeats from, costs a few calls whatever the
+/// size of the fleet. The writers need no agreement: each one adds to the stored list, so that two
+/// of them that know different gateways end up with a complete list.
 class RosterPublisher
 {
 public:
-    /// Between looks whether the roster differs.
+    /// Interval between checks whether the roster differs.
     static constexpr Duration checkInterval = seconds(1);
-    /// A watcher waits this long for each one before it, and as long itself for what comes
-    /// together.
+    /// A watcher delays a write by this for each watcher before it, and by the same once more to
+    /// collect changes that come together.
     static constexpr Duration delayPerPosition = seconds(1);
-    /// Between two writes: gateways that start one after the other are told together.
+    /// Collects gateways that start one after the other into one write.
     static constexpr Duration minWriteInterval = seconds(3);
-    /// Silence after which a gateway is taken off: longer than restarts and cuts last as a rule.
+    /// Time without heartbeats after which a gateway is removed: longer than most restarts and
+    /// network partitions.
     static constexpr Duration removeAfter = seconds(30);
 
-    /// True when due() is to be asked.
-    bool isCheckDue(Time now) const { return !m_lookedAt || *m_lookedAt + checkInterval <= now; }
+    /// True when rosterToWrite() is to be called.
+    bool isCheckDue(Time now) const { return !m_checkedAt || *m_checkedAt + checkInterval <= now; }
 
-    /// What is to be written now; nothing when \p known will do. \p live are the gateways that were
-    /// heard, this one included; \p rank is its place among those that watch.
-    std::optional<Roster> rosterToWrite(const Roster &known, const Roster &live, std::size_t rank,
-                                        Time now);
+    /// The roster to write now; empty if \p known needs no change yet. \p live are the gateways
+    /// that heartbeats were received from, this one included; \p position is its position among
+    /// the watchers.
+    std::optional<Roster> rosterToWrite(const Roster &known, const Roster &live,
+                                        std::size_t position, Time now);
 
 private:
-    Roster wanted(const Roster &known, const Roster &live, Time now);
+    Roster makeRoster(const Roster &known, const Roster &live, Time now);
 
-    std::optional<Time> m_lookedAt;
+    std::optional<Time> m_checkedAt;
     std::optional<Time> m_differsSince;
     std::optional<Time> m_wroteAt;
-    std::map<VmName, Time> m_silentSince; ///< of gateways in the roster
+    std::map<VmName, Time> m_unresponsiveSince; ///< gateways of the roster
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/watcherelection.h
+++ b/src/include/reachlead/watcherelection.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which gateways follow the platform's store themselves, and which hear of it from the others.
+/// Elects the gateways that watch the platform's store; the others receive its state from them.
 
 #pragma once
 
@@ -16,40 +16,40 @@
 
 namespace reachlead {
 
-/// The place of a gateway in an order that all gateways share, by a hash over its name: how many of
-/// \p others go before it.
+/// The position of a gateway in the order by the hash of the names, which is the same at all
+/// gateways: the number of \p others before it.
 std::size_t rendezvousPosition(const VmName &self, const std::set<VmName> &others);
 
-/// The first \p n of the others in an order that each gateway has for itself, so that what each
-/// tells a few is spread over all.
+/// The first \p n of the others in the rendezvous order of \p self, which is different at each
+/// gateway, so that messages that each one sends to few others are spread over all.
 std::vector<VmName> rendezvousPeers(const VmName &self, const std::set<VmName> &others,
                                     std::size_t n);
 
 /// Decides whether this gateway watches the store. Not thread-safe, reads no clock.
 ///
-/// Each waiting watch is a priced call, and the store's rates grow more slowly than the fleet, so
-/// only the first watchers gateways by a hash over their names watch; the rest follow their beats.
-/// No one is relied on: a gateway whose peers do not vouch for a state younger than staleLimit
-/// watches by itself, whatever its rank. Two lists that differ make a few watch too many or too
-/// few for a moment, which the limit mends.
+/// Each pending watch is a billed call, and the store's rate limits grow more slowly than the
+/// fleet, so only the first watcherCount gateways by the hash of their names watch; the others
+/// follow the heartbeats of these. There is no dependency on a single gateway: one whose peers
+/// confirm no state younger than staleLimit watches as well, whatever its position. If gateways
+/// know different peers, a few too many or too few watch for a moment, which the limit corrects.
 ///
-/// Where no gateway is vouched for, the first by that order go ahead, so that the others can be
-/// vouched for by them: a fleet that loses its watchers at once has few calls more than it had. A
-/// gateway that has just started knows few of the others, and so not its place in the order; where
-/// there are seeds, they watch until the limit has passed.
+/// If no gateway's state is confirmed, gateways start to watch in that order, so that the first
+/// ones can confirm the state of the others: a fleet that loses all watchers at once makes few more
+/// calls than before. A gateway that has just started knows few of the others and so not its
+/// position; if there are seeds, these watch until the limit has passed.
 class WatcherElection
 {
 public:
     struct Options
     {
-        /// Age at which a state that peers vouch for counts as stale: three quarters of the bound
-        /// in which a configuration must be in force, so that a look at the store can still follow.
+        /// Age from which a state confirmed by peers is stale: three quarters of the time within
+        /// which a configuration must be in force, so that a read of the store still fits in.
         Duration staleLimit = milliseconds(1500);
-        bool hasSeeds = false; ///< all gateways tell some of themselves first
-        bool isSeed = false; ///< this one is among those
+        bool hasSeeds = false; ///< all gateways first announce themselves to seeds
+        bool isSeed = false; ///< this gateway is a seed
     };
 
-    /// The part of a bound on changes that Options::staleLimit takes.
+    /// Options::staleLimit as a fraction of the time within which changes must be in force.
     static constexpr double staleFraction = 0.75;
 
     explicit WatcherElection(VmName self) : WatcherElection(std::move(self), Options()) { }
@@ -57,34 +57,35 @@
         : m_self(std::move(self)), m_options(options)
     { }
 
-    /// A peer vouches that this gateway's state was current at \p at.
+    /// A peer confirms that this gateway's state was current at \p at.
     void confirmed(Time at);
 
-    /// True when nobody vouched for the state within the limit.
-    bool isStale(Time now) const { return m_vouchedAt + m_options.staleLimit < now; }
+    /// True if no peer confirmed the state within the limit.
+    bool isStale(Time now) const { return m_confirmedAt + m_options.staleLimit < now; }
 
-    /// The process began to run at \p now; peers get the limit to be heard before it watches.
+    /// The process started at \p now. Heartbeats of peers have the stale limit to arrive before it
+    /// watches.
     void start(Time now)
     {
-        m_vouchedAt = now;
-        m_begin = now;
+        m_confirmedAt = now;
+        m_startedAt = now;
     }
 
-    /// True when this gateway should watch, given the other gateways that live.
+    /// True if this gateway should watch, given the other live gateways.
     bool isWatcher(const std::set<VmName> &others, Time now) const;
 
-    /// Gateways that watch at the same time: enough that the loss of any one VM, or of the store's
-    /// favour for one, does not delay a change.
+    /// Gateways that watch at the same time: enough that no change is delayed if one VM is lost or
+    /// the store stops serving one gateway.
     static constexpr std::size_t watcherCount = 3;
 
-    /// Part of the limit by which the last gateway of the order watches later than the first.
+    /// Delay from the first to the last gateway in the order, as a fraction of the stale limit.
     static constexpr double maxStaggerFraction = 0.2;
 
 private:
     VmName m_self;
     Options m_options;
-    Time m_vouchedAt{};
-    Time m_begin{};
+    Time m_confirmedAt{};
+    Time m_startedAt{};
 };
 
 } // namespace reachlead
--- a/src/libreachlead/gatewayparts_test.cpp
+++ b/src/libreachlead/gatewayparts_test.cpp
@@ -18,52 +18,54 @@
 
 namespace reachlead {
 
-/// The small parts that a gateway's decisions are made of.
+/// Components of a gateway: retry shares, event splitting, prompt caches, watcher election,
+/// latencies and the log budget.
 class GatewayPartsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(GatewayPartsTest);
     CPPUNIT_TEST(sharesOfRetriesNeverSumAboveTheBound);
-    CPPUNIT_TEST(retriesComeBackWithTheWindow);
-    CPPUNIT_TEST(eventsAreCutAtTheirEnds);
+    CPPUNIT_TEST(retriesAreAllowedAgainAfterTheWindow);
+    CPPUNIT_TEST(eventsAreSplitAtTheirEnds);
     CPPUNIT_TEST(partOfAnEventIsHeldBack);
     CPPUNIT_TEST(endlessEventIsRefused);
-    CPPUNIT_TEST(partCountsOnlyBehindItsHead);
-    CPPUNIT_TEST(cacheForgetsTheLeastUsed);
+    CPPUNIT_TEST(partCountsOnlyAfterItsPrefix);
+    CPPUNIT_TEST(cacheEvictsTheLeastRecentlyUsed);
     CPPUNIT_TEST(threeGatewaysWatch);
-    CPPUNIT_TEST(fewGoAheadWhereAllAreStale);
+    CPPUNIT_TEST(fewWatchFirstWhenAllAreStale);
     CPPUNIT_TEST(seedsWatchWhileTheFleetStarts);
-    CPPUNIT_TEST(staleGatewayWatchesWhateverItsRank);
+    CPPUNIT_TEST(staleGatewayWatchesWhateverItsPosition);
     CPPUNIT_TEST(quantilesFollowTheSamples);
-    CPPUNIT_TEST(logBudgetFillsUpWithTime);
-    CPPUNIT_TEST(slowOutputNeverBlocksWhoeverLogs);
+    CPPUNIT_TEST(logBudgetRefillsWithTime);
+    CPPUNIT_TEST(slowOutputNeverBlocksCallers);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
 
-    /// Any number of gateways, each with any first sends and endless wish to repeat.
+    /// Any number of gateways with any number of first sends, each of which retries as often as it
+    /// may.
     void sharesOfRetriesNeverSumAboveTheBound()
     {
         CPPUNIT_ASSERT(rc::check("shares of retries", [] {
             const auto gateways = *rc::gen::inRange<std::size_t>(1, 30);
-            const auto firsts =
+            const auto firstSends =
                 *rc::gen::container<std::vector<unsigned>>(gateways, rc::gen::inRange(0U, 200U));
             const RetryBounds bounds;
             const ServiceName service("s");
-            double repeats = 0;
-            for (const unsigned sends : firsts) {
+            double retries = 0;
+            for (const unsigned sends : firstSends) {
                 RetryShare share(bounds);
                 share.setGatewayCount(gateways);
                 for (unsigned n = 0; n < sends; ++n)
                     share.recordFirstSend(service, start + milliseconds(n));
                 while (share.take(service, start + milliseconds(300)))
-                    ++repeats;
+                    ++retries;
             }
-            const double all = std::accumulate(firsts.begin(), firsts.end(), 0.0);
-            RC_ASSERT(repeats <= bounds.ratio * all + bounds.slack);
+            const double all = std::accumulate(firstSends.begin(), firstSends.end(), 0.0);
+            RC_ASSERT(retries <= bounds.ratio * all + bounds.slack);
         }));
     }
 
-    void retriesComeBackWithTheWindow()
+    void retriesAreAllowedAgainAfterTheWindow()
     {
         RetryShare share;
         const ServiceName service("s");
@@ -73,8 +75,8 @@
         CPPUNIT_ASSERT(share.take(ServiceName("other"), start));
     }
 
-    /// However the bytes arrive, the whole events come out and nothing else.
-    void eventsAreCutAtTheirEnds()
+    /// In whatever pieces the bytes arrive, exactly the whole events are passed on.
+    void eventsAreSplitAtTheirEnds()
     {
         CPPUNIT_ASSERT(rc::check("events over any pieces", [] {
             const auto count = *rc::gen::inRange(0U, 20U);
@@ -127,18 +129,18 @@
         return keyParts(model, prompt);
     }
 
-    static void note(PromptCache *cache, const std::string &model,
-                     const std::vector<PromptPart> &prompt)
+    static void addPrompt(PromptCache *cache, const std::string &model,
+                          const std::vector<PromptPart> &prompt)
     {
         for (const KeyedPart &part : keyParts(model, prompt))
             cache->insert(part.key, Time{});
     }
 
-    void partCountsOnlyBehindItsHead()
+    void partCountsOnlyAfterItsPrefix()
     {
         PromptCache cache;
         const std::vector<PromptPart> prompt{{1, 100}, {2, 50}, {3, 7}};
-        note(&cache, "m", prompt);
+        addPrompt(&cache, "m", prompt);
         CPPUNIT_ASSERT_EQUAL(TokenCount{157}, cache.cachedTokens(parts("m", prompt)));
         CPPUNIT_ASSERT_EQUAL(TokenCount{150},
                              cache.cachedTokens(parts("m", {{1, 100}, {2, 50}, {9, 9}})));
@@ -146,13 +148,13 @@
         CPPUNIT_ASSERT_EQUAL(TokenCount{0}, cache.cachedTokens(parts("other", prompt)));
     }
 
-    void cacheForgetsTheLeastUsed()
+    void cacheEvictsTheLeastRecentlyUsed()
     {
         PromptCache cache;
         const std::vector<PromptPart> kept{{1, 10}};
         for (std::uint64_t n = 1; n <= 2 * PromptCache::maxParts; ++n) {
-            note(&cache, "m", {{n, 10}});
-            note(&cache, "m", kept);
+            addPrompt(&cache, "m", {{n, 10}});
+            addPrompt(&cache, "m", kept);
         }
         CPPUNIT_ASSERT_EQUAL(PromptCache::maxParts, cache.size());
         CPPUNIT_ASSERT_EQUAL(TokenCount{10}, cache.cachedTokens(parts("m", kept)));
@@ -174,16 +176,17 @@
         for (const VmName &vm : all) {
             std::set<VmName> others = all;
             others.erase(vm);
-            WatcherElection duty(vm);
-            duty.start(start);
-            watching += duty.isWatcher(others, start) ? 1 : 0;
+            WatcherElection election(vm);
+            election.start(start);
+            watching += election.isWatcher(others, start) ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(WatcherElection::watcherCount, watching);
     }
 
-    /// All that watched are lost at once. The others' states grow old together; few read the store
-    /// before those can vouch for the rest, in a fleet of any size.
-    void fewGoAheadWhereAllAreStale()
+    /// All watchers are lost at once, so the states of the other gateways become stale at the same
+    /// time. In a fleet of any size, few of them read the store before these can confirm the state
+    /// of the rest.
+    void fewWatchFirstWhenAllAreStale()
     {
         for (const std::size_t size : {std::size_t{30}, std::size_t{300}, std::size_t{1000}}) {
             const std::set<VmName> all = fleet(size);
@@ -193,20 +196,20 @@
             for (const VmName &vm : all) {
                 std::set<VmName> others = all;
                 others.erase(vm);
-                WatcherElection duty(vm);
-                duty.start(start);
-                duty.confirmed(start + seconds(10));
+                WatcherElection election(vm);
+                election.start(start);
+                election.confirmed(start + seconds(10));
                 const Time stale = start + seconds(10) + limit;
-                atOnce += duty.isWatcher(others, stale + milliseconds(10)) ? 1 : 0;
-                atTheEnd += duty.isWatcher(others, stale + limit / 5) ? 1 : 0;
+                atOnce += election.isWatcher(others, stale + milliseconds(10)) ? 1 : 0;
+                atTheEnd += election.isWatcher(others, stale + limit / 5) ? 1 : 0;
             }
             CPPUNIT_ASSERT(atOnce >= WatcherElection::watcherCount && atOnce <= 3 + size / 20);
-            CPPUNIT_ASSERT(atTheEnd >= size - 2); // nobody relies on the first
+            CPPUNIT_ASSERT(atTheEnd >= size - 2); // all watch if the first ones confirm nothing
         }
     }
 
-    /// Gateways that have just started know few of the others, so most would take themselves for
-    /// one of the first.
+    /// Gateways that have just started know few of the others, so most would consider themselves
+    /// among the first in the order.
     void seedsWatchWhileTheFleetStarts()
     {
         std::size_t watching = 0;
@@ -215,32 +218,32 @@
             WatcherElection::Options options;
             options.hasSeeds = true;
             options.isSeed = n < 3;
-            WatcherElection duty(VmName(fmt::format("vm-{}", n)), options);
-            duty.start(start);
-            duty.confirmed(start + seconds(1));
-            watching += duty.isWatcher({VmName("seed")}, start + milliseconds(200)) ? 1 : 0;
-            later += duty.isWatcher(fleet(480), start + options.staleLimit) ? 1 : 0;
+            WatcherElection election(VmName(fmt::format("vm-{}", n)), options);
+            election.start(start);
+            election.confirmed(start + seconds(1));
+            watching += election.isWatcher({VmName("seed")}, start + milliseconds(200)) ? 1 : 0;
+            later += election.isWatcher(fleet(480), start + options.staleLimit) ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(WatcherElection::watcherCount, watching);
-        CPPUNIT_ASSERT(later < 10); // by the order among all
+        CPPUNIT_ASSERT(later < 10); // by their position among all
     }
 
-    void staleGatewayWatchesWhateverItsRank()
+    void staleGatewayWatchesWhateverItsPosition()
     {
         const std::set<VmName> others = fleet(480);
-        WatcherElection duty(VmName("gateway-last"));
-        duty.start(start);
-        CPPUNIT_ASSERT(!duty.isWatcher({}, start)); // peers get time to be heard
-        CPPUNIT_ASSERT(!duty.isWatcher(others, start));
-        duty.confirmed(start + seconds(5));
+        WatcherElection election(VmName("gateway-last"));
+        election.start(start);
+        CPPUNIT_ASSERT(!election.isWatcher({}, start)); // heartbeats of peers may still arrive
+        CPPUNIT_ASSERT(!election.isWatcher(others, start));
+        election.confirmed(start + seconds(5));
+        CPPUNIT_ASSERT(!election.isWatcher(
+            others, start + seconds(5) + WatcherElection::Options().staleLimit));
         CPPUNIT_ASSERT(
-            !duty.isWatcher(others, start + seconds(5) + WatcherElection::Options().staleLimit));
-        CPPUNIT_ASSERT(
-            duty.isWatcher(others, start + seconds(6) + WatcherElection::Options().staleLimit));
-        CPPUNIT_ASSERT(duty.isWatcher({}, start + seconds(5)));
+            election.isWatcher(others, start + seconds(6) + WatcherElection::Options().staleLimit));
+        CPPUNIT_ASSERT(election.isWatcher({}, start + seconds(5)));
     }
 
-    void logBudgetFillsUpWithTime()
+    void logBudgetRefillsWithTime()
     {
         LogBudget budget;
         unsigned taken = 0;
@@ -251,8 +254,8 @@
         CPPUNIT_ASSERT(budget.take(start + milliseconds(10)));
     }
 
-    /// An output that never comes back: lines are dropped and counted, nobody waits.
-    void slowOutputNeverBlocksWhoeverLogs()
+    /// An output that blocks: lines are dropped and counted, and no caller waits.
+    void slowOutputNeverBlocksCallers()
     {
         std::mutex output;
         std::string written;
--- a/src/libreachlead/rosterpublisher_test.cpp
+++ b/src/libreachlead/rosterpublisher_test.cpp
@@ -15,17 +15,17 @@
 
 namespace reachlead {
 
-/// The list of gateways, as those on watch keep it through starts, losses and cuts.
+/// The roster as the watchers maintain it through starts, losses and network partitions.
 class RosterDutyTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RosterDutyTest);
-    CPPUNIT_TEST(fleetThatStartsIsWrittenInFewCalls);
-    CPPUNIT_TEST(listGrowsWhateverEachKnows);
+    CPPUNIT_TEST(startingFleetIsWrittenInFewCalls);
+    CPPUNIT_TEST(rosterGrowsWithAnyPartialViews);
     CPPUNIT_TEST(restartChangesNothing);
-    CPPUNIT_TEST(goneGatewayIsTakenOff);
-    CPPUNIT_TEST(movedGatewayIsWrittenAnew);
-    CPPUNIT_TEST(nextWritesWhereTheFirstDoesNot);
-    CPPUNIT_TEST(halvesThatOnlyTheStoreJoinsAreBothListed);
+    CPPUNIT_TEST(lostGatewayIsRemoved);
+    CPPUNIT_TEST(movedGatewayIsRewritten);
+    CPPUNIT_TEST(secondWatcherWritesIfTheFirstDoesNot);
+    CPPUNIT_TEST(partitionedHalvesAreBothListed);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -40,9 +40,9 @@
         return made;
     }
 
-    /// Three watchers hear of a fleet that starts within two seconds. The calls do not grow with
-    /// the fleet.
-    void fleetThatStartsIsWrittenInFewCalls()
+    /// Three watchers receive heartbeats of a fleet that starts within two seconds. The number of
+    /// writes does not grow with the fleet.
+    void startingFleetIsWrittenInFewCalls()
     {
         for (const std::size_t size : {std::size_t{30}, std::size_t{300}, std::size_t{1000}}) {
             std::array<RosterPublisher, 3> watchers;
@@ -50,9 +50,9 @@
             int writes = 0;
             for (int n = 0; n < 60; ++n) {
                 const Roster live = fleet(std::min(size, size * (n + 1) / 3));
-                for (std::size_t rank = 0; rank < watchers.size(); ++rank) {
-                    const auto roster =
-                        watchers[rank].rosterToWrite(known, live, rank, start + n * seconds(1));
+                for (std::size_t position = 0; position < watchers.size(); ++position) {
+                    const auto roster = watchers[position].rosterToWrite(known, live, position,
+                                                                         start + n * seconds(1));
                     if (!roster)
                         continue;
                     known = *roster;
@@ -64,18 +64,18 @@
         }
     }
 
-    /// Forty gateways that take themselves for watchers as they know few of the others, each of
-    /// which reads the list up to four seconds late. A write that was made from an older list is
-    /// refused, as the store does; the list never shrinks, and holds all
-    /// before one that some of them never hear would count as gone.
-    void listGrowsWhateverEachKnows()
+    /// Forty gateways consider themselves watchers, as they know few of the others, and each reads
+    /// the roster up to three writes late. Like the store, the test refuses writes made from an
+    /// older roster. The roster must never shrink, and must be complete before removeAfter has
+    /// passed for gateways that some writers receive no heartbeats from.
+    void rosterGrowsWithAnyPartialViews()
     {
         constexpr std::size_t size = 200;
         constexpr std::size_t writers = 40;
         for (unsigned seed = 1; seed <= 20; ++seed) {
             std::mt19937 random(seed);
             std::vector<Roster> history{{}};
-            std::vector<RosterPublisher> duties(writers);
+            std::vector<RosterPublisher> publishers(writers);
             std::vector<std::size_t> seen(writers, 0); ///< index into the history
             std::vector<Roster> live(writers);
             const Roster all = fleet(size);
@@ -88,7 +88,7 @@
                                  history.size() - 1
                                      - std::min<std::size_t>(history.size() - 1, random() % 4));
                     const auto roster =
-                        duties[it].rosterToWrite(history[seen[it]], live[it], it % 3, now);
+                        publishers[it].rosterToWrite(history[seen[it]], live[it], it % 3, now);
                     if (!roster || seen[it] + 1 != history.size())
                         continue;
                     CPPUNIT_ASSERT(roster->size() >= history.back().size());
@@ -101,65 +101,66 @@
 
     void restartChangesNothing()
     {
-        RosterPublisher duty;
+        RosterPublisher publisher;
         const Roster known = fleet(20);
         for (int n = 0; n < 25; ++n)
-            CPPUNIT_ASSERT(!duty.rosterToWrite(known, fleet(12), 0, start + n * seconds(1)));
-        CPPUNIT_ASSERT(!duty.rosterToWrite(known, known, 0, start + seconds(25)));
-        // Silence counts from its begin.
+            CPPUNIT_ASSERT(!publisher.rosterToWrite(known, fleet(12), 0, start + n * seconds(1)));
+        CPPUNIT_ASSERT(!publisher.rosterToWrite(known, known, 0, start + seconds(25)));
+        // removeAfter starts anew with each interruption of the heartbeats.
         for (int n = 26; n < 50; ++n)
-            CPPUNIT_ASSERT(!duty.rosterToWrite(known, fleet(12), 0, start + n * seconds(1)));
+            CPPUNIT_ASSERT(!publisher.rosterToWrite(known, fleet(12), 0, start + n * seconds(1)));
     }
 
-    void goneGatewayIsTakenOff()
+    void lostGatewayIsRemoved()
     {
-        RosterPublisher duty;
+        RosterPublisher publisher;
         const Roster known = fleet(20);
         std::optional<Roster> written;
         for (int n = 0; n < 40 && !written; ++n)
-            written = duty.rosterToWrite(known, fleet(19), 0, start + n * seconds(1));
+            written = publisher.rosterToWrite(known, fleet(19), 0, start + n * seconds(1));
         CPPUNIT_ASSERT(written && *written == fleet(19));
     }
 
-    void movedGatewayIsWrittenAnew()
+    void movedGatewayIsRewritten()
     {
-        RosterPublisher duty;
+        RosterPublisher publisher;
         Roster live = fleet(5);
         live[VmName("vm-3")].address.address = "10.9.9.9";
-        duty.rosterToWrite(fleet(5), live, 0, start);
+        publisher.rosterToWrite(fleet(5), live, 0, start);
         const auto written =
-            duty.rosterToWrite(fleet(5), live, 0, start + RosterPublisher::delayPerPosition);
+            publisher.rosterToWrite(fleet(5), live, 0, start + RosterPublisher::delayPerPosition);
         CPPUNIT_ASSERT(written.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("10.9.9.9"), written->at(VmName("vm-3")).address.address);
     }
 
-    void nextWritesWhereTheFirstDoesNot()
+    void secondWatcherWritesIfTheFirstDoesNot()
     {
-        RosterPublisher duty;
-        duty.rosterToWrite({}, fleet(3), 1, start);
-        CPPUNIT_ASSERT(
-            !duty.rosterToWrite({}, fleet(3), 1, start + RosterPublisher::delayPerPosition));
+        RosterPublisher publisher;
+        publisher.rosterToWrite({}, fleet(3), 1, start);
         CPPUNIT_ASSERT(
-            duty.rosterToWrite({}, fleet(3), 1, start + 2 * RosterPublisher::delayPerPosition));
+            !publisher.rosterToWrite({}, fleet(3), 1, start + RosterPublisher::delayPerPosition));
+        CPPUNIT_ASSERT(publisher.rosterToWrite({}, fleet(3), 1,
+                                               start + 2 * RosterPublisher::delayPerPosition));
     }
 
-    /// Gateways that cannot reach those of the other half; each half's first watcher writes.
-    void halvesThatOnlyTheStoreJoinsAreBothListed()
+    /// Two halves of a fleet cannot reach each other, but both reach the store; the first watcher
+    /// of each half writes.
+    void partitionedHalvesAreBothListed()
     {
-        const Roster here = fleet(10);
-        const Roster there = fleet(10, 10);
+        const Roster oneHalf = fleet(10);
+        const Roster otherHalf = fleet(10, 10);
         std::array<RosterPublisher, 2> writers;
         Roster known;
         std::size_t complete = 0;
         for (int n = 0; n < 300; ++n) {
             const Time now = start + n * seconds(1);
-            if (const auto roster = writers[0].rosterToWrite(known, here, 0, now))
+            if (const auto roster = writers[0].rosterToWrite(known, oneHalf, 0, now))
                 known = *roster;
-            if (const auto roster = writers[1].rosterToWrite(known, there, 0, now))
+            if (const auto roster = writers[1].rosterToWrite(known, otherHalf, 0, now))
                 known = *roster;
             complete += known.size() == 20 ? 1 : 0;
         }
-        CPPUNIT_ASSERT(complete >= 250); // a gateway that starts finds both
+        CPPUNIT_ASSERT(complete >= 250); // a starting gateway finds both halves
     }
 };
 
--- a/src/libreachlead/watcherelection.cpp
+++ b/src/libreachlead/watcherelection.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::uint64_t rankOf(const VmName &vm)
+std::uint64_t hashName(const VmName &vm)
 {
     return XXH64(vm.text.data(), vm.text.size(), 0);
 }
@@ -22,41 +22,42 @@
 
 std::size_t rendezvousPosition(const VmName &self, const std::set<VmName> &others)
 {
-    const std::uint64_t own = rankOf(self);
+    const std::uint64_t own = hashName(self);
     return static_cast<std::size_t>(
-        std::ranges::count_if(others, [&](const VmName &vm) { return rankOf(vm) < own; }));
+        std::ranges::count_if(others, [&](const VmName &vm) { return hashName(vm) < own; }));
 }
 
 std::vector<VmName> rendezvousPeers(const VmName &self, const std::set<VmName> &others,
                                     std::size_t n)
 {
-    const std::uint64_t seed = rankOf(self);
-    std::vector<std::pair<std::uint64_t, VmName>> ranked;
-    ranked.reserve(others.size());
+    const std::uint64_t seed = hashName(self);
+    std::vector<std::pair<std::uint64_t, VmName>> scored;
+    scored.reserve(others.size());
     for (const VmName &vm : others)
-        ranked.emplace_back(XXH64(vm.text.data(), vm.text.size(), seed), vm);
-    std::ranges::sort(ranked);
-    ranked.resize(std::min(n, ranked.size()));
+        scored.emplace_back(XXH64(vm.text.data(), vm.text.size(), seed), vm);
+    std::ranges::sort(scored);
+    scored.resize(std::min(n, scored.size()));
     std::vector<VmName> first;
-    std::ranges::transform(ranked, std::back_inserter(first), [](auto &it) { return it.second; });
+    std::ranges::transform(scored, std::back_inserter(first), [](auto &it) { return it.second; });
     return first;
 }
 
 void WatcherElection::confirmed(Time at)
 {
-    m_vouchedAt = std::max(m_vouchedAt, at);
+    m_confirmedAt = std::max(m_confirmedAt, at);
 }
 
 bool WatcherElection::isWatcher(const std::set<VmName> &others, Time now) const
 {
-    const std::size_t rank = rendezvousPosition(m_self, others);
-    const bool isFirst = rank < watcherCount;
-    const double part =
-        isFirst ? 0.0 : static_cast<double>(rank) / static_cast<double>(others.size());
-    const Duration wait = fromSeconds(toSeconds(m_options.staleLimit) * maxStaggerFraction * part);
+    const std::size_t position = rendezvousPosition(m_self, others);
+    const bool isFirst = position < watcherCount;
+    const double fraction =
+        isFirst ? 0.0 : static_cast<double>(position) / static_cast<double>(others.size());
+    const Duration wait =
+        fromSeconds(toSeconds(m_options.staleLimit) * maxStaggerFraction * fraction);
     if (isStale(now - wait))
         return true;
-    const bool isStarting = now < m_begin + m_options.staleLimit;
+    const bool isStarting = now < m_startedAt + m_options.staleLimit;
     if (isStarting && m_options.hasSeeds)
         return m_options.isSeed;
     return isFirst && !(isStarting && others.empty());
