--- a/src/include/reachlead/routing.h
+++ b/src/include/reachlead/routing.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a gateway must know to forward a call: routes, services, accounts and limits, as one
-/// versioned whole.
+/// The configuration by which a gateway forwards calls: routes, services, accounts and limits,
+/// under one version.
 
 #pragma once
 
@@ -22,14 +22,14 @@
 
 using ServiceName = Name<struct ServiceTag>;
 
-/// What may be done again with a call of a route.
+/// Whether calls of a route may be repeated.
 enum class RouteKind : std::uint8_t {
     Safe, ///< idempotent: may run more than once
     Unsafe, ///< runs at most once for each attempt of the caller
-    Stream ///< answered by a series of events; as Unsafe unless it may be resumed
+    Stream ///< answered by an event stream; as Unsafe unless it is resumable
 };
 
-/// A service that takes part of a route's calls.
+/// A service that receives a share of a route's calls.
 struct ServiceShare
 {
     ServiceName service;
@@ -39,7 +39,7 @@
     template <class Archive> void serialize(Archive &ar) { ar(service, weight); }
 };
 
-/// One route: which calls it takes, and how they are treated.
+/// A route: the calls that it matches, and how they are handled.
 struct Route
 {
     std::string name;
@@ -47,14 +47,14 @@
     std::string pathPrefix; ///< begins and ends with a slash
     RouteKind kind = RouteKind::Unsafe;
     bool anonymous = false; ///< needs no key
-    bool resumable = false; ///< a stream may go on at another upstream after an event
-    unsigned priority = 0; ///< rank; 0 is the highest
+    bool resumable = false; ///< a stream may be resumed at another upstream after an event
+    unsigned priority = 0; ///< 0 is the highest
     unsigned maxAttempts = 1; ///< upstreams that one call may be sent to
-    std::int64_t timeoutMs = 0; ///< longest time to a final answer; 0: none
+    std::int64_t timeoutMs = 0; ///< maximum time to a final answer; 0: unlimited
     std::int64_t targetLatencyMs = 0; ///< to the answer, or to the first event of a stream
-    std::int64_t gapTargetMs = 0; ///< longest pause between events that is still on time
+    std::int64_t gapTargetMs = 0; ///< target for the longest gap between events
     std::vector<ServiceShare> services;
-    std::vector<RegionName> regions{}; ///< whose upstreams may work on its calls; none: all
+    std::vector<RegionName> regions{}; ///< whose upstreams may serve its calls; empty: all
 
     bool operator==(const Route &) const = default;
     template <class Archive> void serialize(Archive &ar)
@@ -64,16 +64,16 @@
     }
 };
 
-/// What is known of all upstreams of a service.
+/// Properties common to the upstreams of a service.
 struct ServiceInfo
 {
     ServiceName name;
-    unsigned maxConnections = 0; ///< of one upstream, from all callers together; 0: not told
-    unsigned engineSlots = 0; ///< requests that a model engine runs at once; 0: a plain service
-    std::uint64_t engineCacheTokens = 0; ///< tokens that an engine's cache holds
-    std::uint64_t engineTokenBytes = 0; ///< of one cached token; 0: caches cannot be copied
-    double engineLinkMbps = 0; ///< between engines; 0: caches cannot be copied
-    double coldCallsPerSecond = 0; ///< calls that a cold upstream bears, of all callers; 0: any
+    unsigned maxConnections = 0; ///< per upstream, from all callers together; 0: not known
+    unsigned engineSlots = 0; ///< concurrent requests of a model engine; 0: a plain service
+    std::uint64_t engineCacheTokens = 0; ///< capacity of an engine's cache in tokens
+    std::uint64_t engineTokenBytes = 0; ///< size of a cached token; 0: caches cannot be copied
+    double engineLinkMbps = 0; ///< bandwidth between engines; 0: caches cannot be copied
+    double coldCallsPerSecond = 0; ///< calls to a cold upstream, of all callers; 0: unlimited
 
     /// True when an engine can fetch cached parts from another.
     bool canFetch() const { return engineTokenBytes > 0 && engineLinkMbps > 0; }
@@ -91,8 +91,8 @@
 {
     AccountName name;
     std::vector<std::string> keys;
-    std::optional<unsigned> priority; ///< goes before the route's when set
-    std::vector<RegionName> regions{}; ///< as of a route; where both name some, both bind
+    std::optional<unsigned> priority; ///< orders calls of routes with the same priority
+    std::vector<RegionName> regions{}; ///< as Route::regions; if both are set, both apply
 
     bool operator==(const AccountKeys &) const = default;
     template <class Archive> void serialize(Archive &ar)
@@ -104,8 +104,8 @@
     }
 };
 
-/// What a caller may send, and how long it may take. The defaults hold until a configuration
-/// says otherwise.
+/// Limits on the size and the duration of callers' requests. The defaults apply until a
+/// configuration sets others.
 struct CallerLimits
 {
     std::uint32_t maxHeaderBytes = 16U << 10U;
@@ -120,7 +120,7 @@
     }
 };
 
-/// One whole configuration.
+/// A complete configuration.
 struct RoutingConfig
 {
     std::uint64_t version = 0; ///< 0: none yet; a higher one replaces a lower one
@@ -135,7 +135,7 @@
     }
 };
 
-/// A configuration made ready for look-ups. Immutable, so a request keeps the one it began with.
+/// A configuration indexed for lookups. Immutable, so a request keeps the one it started with.
 class RouteTable
 {
 public:
@@ -144,29 +144,30 @@
     const RoutingConfig &config() const { return m_config; }
     std::uint64_t version() const { return m_config.version; }
 
-    /// The route of \p host (a port is passed over) whose prefix is the longest that begins
-    /// \p path; null when there is none.
+    /// The route of \p host (a port is ignored) with the longest prefix of \p path; null if there
+    /// is none.
     const Route *match(std::string_view host, std::string_view path) const;
 
-    /// The account that holds \p key; null when none does.
+    /// The account that has \p key; null if none does.
     const AccountKeys *accountForKey(const std::string &key) const;
 
-    /// How urgent a call is at a model engine: 0 (first) to lowestUrgency. The route's priority
-    /// decides; among calls of equal routes the account's does (docs/QUESTIONS.md, question 1).
+    /// The urgency rank of a call at a model engine: 0 (most urgent) to lowestUrgency. The route's
+    /// priority takes precedence; the account's decides between routes of the same priority
+    /// (docs/QUESTIONS.md, question 1).
     unsigned urgencyRank(const Route &route, const AccountKeys *account) const;
 
-    /// True when no route to the service goes before this one.
+    /// True if no route to the service has a higher priority.
     bool isMostUrgent(const Route &route, const ServiceName &service) const;
 
-    /// The last of the ranks that engines know.
+    /// The last of the urgency ranks supported by engines.
     static constexpr unsigned lowestUrgency = 9;
 
-    /// What is known of a service; null when it is not listed.
+    /// The properties of a service; null if it is not configured.
     const ServiceInfo *service(const ServiceName &name) const;
 
 private:
     RoutingConfig m_config;
-    unsigned m_ranksPerPriority = 1; ///< that fit into the ranks engines know
+    unsigned m_ranksPerPriority = 1; ///< urgency ranks available per route priority
     std::unordered_map<std::string, std::vector<const Route *>> m_byHost; ///< longest prefix first
     std::unordered_map<std::string, const AccountKeys *> m_byKey;
     std::unordered_map<ServiceName, unsigned> m_topPriority; ///< of the routes to a service
@@ -174,7 +175,7 @@
 
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// Picks a service by weight. \p draw is evenly spread over 0 (included) to 1 (not included).
+/// Picks a service by weight. \p draw is uniformly distributed over [0, 1).
 const ServiceName *pickService(const Route &route, double draw);
 
 } // namespace reachlead
--- a/src/libreachlead/routing.cpp
+++ b/src/libreachlead/routing.cpp
@@ -13,8 +13,8 @@
 
 std::string lowerHost(std::string_view host)
 {
-    const std::string_view bare = host.substr(0, host.find(':'));
-    std::string lower(bare);
+    const std::string_view withoutPort = host.substr(0, host.find(':'));
+    std::string lower(withoutPort);
     std::ranges::transform(lower, lower.begin(),
                            [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
     return lower;
@@ -53,8 +53,8 @@
 
 unsigned RouteTable::urgencyRank(const Route &route, const AccountKeys *account) const
 {
-    const bool own = account != nullptr && account->priority.has_value();
-    const unsigned within = std::min(own ? *account->priority : 0U, m_ranksPerPriority - 1);
+    const bool hasOwn = account != nullptr && account->priority.has_value();
+    const unsigned within = std::min(hasOwn ? *account->priority : 0U, m_ranksPerPriority - 1);
     return std::min(lowestUrgency, route.priority * m_ranksPerPriority + within);
 }
 
--- a/src/libreachlead/routing_test.cpp
+++ b/src/libreachlead/routing_test.cpp
@@ -7,13 +7,13 @@
 
 namespace reachlead {
 
-/// Which route takes a call, and which service of it.
+/// Selection of the route of a call and of the route's service.
 class RoutingTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RoutingTest);
     CPPUNIT_TEST(longestPrefixWins);
     CPPUNIT_TEST(hostIsComparedWithoutCaseAndPort);
-    CPPUNIT_TEST(keysLeadToAccounts);
+    CPPUNIT_TEST(accountsAreFoundByKey);
     CPPUNIT_TEST(weightsDecideTheService);
     CPPUNIT_TEST(urgencyFollowsTheRouteThenTheAccount);
     CPPUNIT_TEST_SUITE_END();
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT(table.match("A.Example:8080", "/x/") != nullptr);
     }
 
-    void keysLeadToAccounts()
+    void accountsAreFoundByKey()
     {
         const RouteTable table(config());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), table.accountForKey("k2")->name.text);
@@ -63,8 +63,9 @@
         CPPUNIT_ASSERT(table.accountForKey("k4") == nullptr);
     }
 
-    /// An engine that runs out of memory puts back the newest of the least urgent: a call of an
-    /// urgent route must not go before one of a less urgent route, whoever's it is.
+    /// An engine that runs out of memory preempts the newest of the least urgent calls, so a call
+    /// of a less urgent route must not rank before one of a more urgent route, whatever its
+    /// account.
     void urgencyFollowsTheRouteThenTheAccount()
     {
         RoutingConfig made = config();
