--- a/src/include/reachlead/subset.h
+++ b/src/include/reachlead/subset.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which agents a router holds sessions to: a deterministic part of all, so that neither the
+/// Deterministic subsetting of the agents that a router holds sessions to, so that neither the
 /// sessions of a router nor those of an agent grow with the fleet.
 
 #pragma once
@@ -14,17 +14,17 @@
 
 namespace reachlead {
 
-/// The sizes of the parts.
+/// The sizes of the subsets.
 struct SubsetSizes
 {
-    std::size_t agentsPerTarget = 2; ///< a router picks so many of each target, own zone first
-    std::size_t routersPerAgent = 4; ///< an agent is taken by so many routers at least
+    std::size_t agentsPerTarget = 2; ///< agents that a router picks per target, own zone first
+    std::size_t routersPerAgent = 4; ///< minimum number of routers that pick an agent
 };
 
-/// The agents that \p router of \p zone holds sessions to. Both rules rank by rendezvous hashing
-/// (Thaler and Ravishankar, 1998), so that a VM that comes or goes moves its own sessions and
-/// few others. An agent whose target the list does not name is always taken: without it the
-/// router could not know whom it leaves out.
+/// The agents that \p router in \p zone holds sessions to. Both sizes are filled in the order of
+/// rendezvous hashing (Thaler and Ravishankar, 1998), so that adding or removing a VM moves its own
+/// sessions and few others. An agent listed without a target is always picked, as the router could
+/// not tell which target loses an agent without it.
 std::set<VmName> pickAgents(const std::vector<Member> &members, const VmName &router,
                             const ZoneName &zone, const SubsetSizes &sizes = {});
 
--- a/src/libreachlead/subset.cpp
+++ b/src/libreachlead/subset.cpp
@@ -13,35 +13,36 @@
 
 namespace {
 
-std::uint64_t hashOf(const VmName &name)
+std::uint64_t hashName(const VmName &name)
 {
     return XXH64(name.text.data(), name.text.size(), 0);
 }
 
-/// A member with the hash of its name, which is needed often.
-struct Ranked
+/// A member with the hash of its name, which is used often.
+struct HashedMember
 {
     const Member *member = nullptr;
     std::uint64_t hash = 0;
 };
 
-std::uint64_t rank(std::uint64_t router, std::uint64_t agent)
+std::uint64_t rendezvousScore(std::uint64_t router, std::uint64_t agent)
 {
     return XXH64(&agent, sizeof agent, router);
 }
 
-/// True when fewer than \p routersPerAgent routers rank higher for the agent than this one. Routers
-/// of the agent's own zone come before all others.
-bool takesAgent(const std::vector<Ranked> &routers, const Ranked &self, const Ranked &agent,
-                std::size_t routersPerAgent)
+/// True if fewer than \p routersPerAgent routers come before this one in the agent's rendezvous
+/// order. Routers of the agent's zone come before all others.
+bool isAmongFirst(const std::vector<HashedMember> &routers, const HashedMember &self,
+                  const HashedMember &agent, std::size_t routersPerAgent)
 {
-    const auto key = [&](const Ranked &router) {
-        return std::pair(router.member->zone == agent.member->zone, rank(router.hash, agent.hash));
+    const auto key = [&](const HashedMember &router) {
+        return std::pair(router.member->zone == agent.member->zone,
+                         rendezvousScore(router.hash, agent.hash));
     };
-    const auto own = key(self);
+    const auto selfKey = key(self);
     std::size_t higher = 0;
-    for (const Ranked &router : routers) {
-        if (key(router) > own && ++higher >= routersPerAgent)
+    for (const HashedMember &router : routers) {
+        if (key(router) > selfKey && ++higher >= routersPerAgent)
             return false;
     }
     return true;
@@ -55,25 +56,25 @@
     Member self;
     self.vm = router;
     self.zone = zone;
-    std::vector<Ranked> routers;
-    std::map<TargetName, std::vector<Ranked>> byTarget;
+    std::vector<HashedMember> routers;
+    std::map<TargetName, std::vector<HashedMember>> byTarget;
     for (const Member &member : members) {
         if (member.role == MemberRole::Router)
-            routers.push_back({&member, hashOf(member.vm)});
+            routers.push_back({&member, hashName(member.vm)});
         else
-            byTarget[member.target].push_back({&member, hashOf(member.vm)});
+            byTarget[member.target].push_back({&member, hashName(member.vm)});
     }
-    const Ranked own{&self, hashOf(router)};
+    const HashedMember own{&self, hashName(router)};
     std::set<VmName> picked;
     for (auto &[target, agents] : byTarget) {
-        std::ranges::sort(agents, std::greater(), [&](const Ranked &agent) {
+        std::ranges::sort(agents, std::greater(), [&](const HashedMember &agent) {
             return std::tuple(!agent.member->leaving, agent.member->zone == zone,
-                              rank(own.hash, agent.hash));
+                              rendezvousScore(own.hash, agent.hash));
         });
         for (std::size_t n = 0; n < agents.size(); ++n) {
-            const bool mine = target.empty() || n < sizes.agentsPerTarget
-                || takesAgent(routers, own, agents[n], sizes.routersPerAgent);
-            if (mine)
+            const bool isPicked = target.empty() || n < sizes.agentsPerTarget
+                || isAmongFirst(routers, own, agents[n], sizes.routersPerAgent);
+            if (isPicked)
                 picked.insert(agents[n].member->vm);
         }
     }
--- a/src/libreachlead/subset_test.cpp
+++ b/src/libreachlead/subset_test.cpp
@@ -16,14 +16,14 @@
     CPPUNIT_TEST_SUITE(SubsetTest);
     CPPUNIT_TEST(everyTargetAndEveryAgentIsCovered);
     CPPUNIT_TEST(churnMovesFewSessions);
-    CPPUNIT_TEST(smallFleetIsTakenWhole);
-    CPPUNIT_TEST(agentsWithoutTargetAreTaken);
+    CPPUNIT_TEST(smallFleetIsPickedWhole);
+    CPPUNIT_TEST(agentsWithoutTargetArePicked);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr unsigned zones = 11;
     static constexpr unsigned targets = 38;
 
-    /// A tenth of the target fleet.
+    /// A tenth of the planned fleet.
     static std::vector<Member> fleet(unsigned routers = 48, unsigned agents = 1200)
     {
         std::vector<Member> members;
@@ -54,41 +54,41 @@
     void everyTargetAndEveryAgentIsCovered()
     {
         const std::vector<Member> members = fleet();
-        std::map<VmName, TargetName> targetOf;
+        std::map<VmName, TargetName> targetByVm;
         for (const Member &member : members)
-            targetOf[member.vm] = member.target;
-        std::map<VmName, unsigned> routersOf;
-        std::size_t most = 0;
+            targetByVm[member.vm] = member.target;
+        std::map<VmName, unsigned> routersByAgent;
+        std::size_t maxSessions = 0;
         std::size_t sum = 0;
         for (const auto &[router, agents] : sessions(members)) {
             std::set<TargetName> served;
             for (const VmName &agent : agents) {
-                served.insert(targetOf.at(agent));
-                ++routersOf[agent];
+                served.insert(targetByVm.at(agent));
+                ++routersByAgent[agent];
             }
             CPPUNIT_ASSERT_EQUAL(std::size_t{targets}, served.size());
-            most = std::max(most, agents.size());
+            maxSessions = std::max(maxSessions, agents.size());
             sum += agents.size();
         }
-        unsigned least = 1000;
-        for (const auto &[vm, target] : targetOf) {
+        unsigned minRouters = 1000;
+        for (const auto &[vm, target] : targetByVm) {
             if (!target.empty())
-                least = std::min(least, routersOf[vm]);
+                minRouters = std::min(minRouters, routersByAgent[vm]);
         }
-        CPPUNIT_ASSERT(least >= SubsetSizes().routersPerAgent);
-        std::cout << fmt::format(" [sessions a router: mean {:.0f}, most {}; routers an agent: "
-                                 "least {}]",
-                                 static_cast<double>(sum) / 48, most, least);
-        CPPUNIT_ASSERT(most < 400);
+        CPPUNIT_ASSERT(minRouters >= SubsetSizes().routersPerAgent);
+        std::cout << fmt::format(" [sessions per router: mean {:.0f}, max {}; routers per agent: "
+                                 "min {}]",
+                                 static_cast<double>(sum) / 48, maxSessions, minRouters);
+        CPPUNIT_ASSERT(maxSessions < 400);
     }
 
     static std::size_t moved(const std::map<VmName, std::set<VmName>> &before,
-                             const std::map<VmName, std::set<VmName>> &after, const VmName &gone)
+                             const std::map<VmName, std::set<VmName>> &after, const VmName &removed)
     {
         std::size_t n = 0;
         for (const auto &[router, agents] : after) {
             for (const VmName &agent : agents)
-                n += before.at(router).contains(agent) || agent == gone ? 0 : 1;
+                n += before.at(router).contains(agent) || agent == removed ? 0 : 1;
         }
         return n;
     }
@@ -109,17 +109,18 @@
         std::cout << fmt::format(" [of {} sessions moved: {} by one agent, {} by one router]", all,
                                  byAgent, byRouter);
         CPPUNIT_ASSERT(byAgent <= 8); // those that had picked it pick another
-        CPPUNIT_ASSERT(byRouter <= before.at(VmName("r7")).size()); // its own, taken over
+        CPPUNIT_ASSERT(byRouter
+                       <= before.at(VmName("r7")).size()); // its own sessions, moved to others
     }
 
-    void smallFleetIsTakenWhole()
+    void smallFleetIsPickedWhole()
     {
         const std::vector<Member> members = fleet(4, 35);
         for (const auto &[router, agents] : sessions(members))
             CPPUNIT_ASSERT_EQUAL(std::size_t{35}, agents.size());
     }
 
-    void agentsWithoutTargetAreTaken()
+    void agentsWithoutTargetArePicked()
     {
         std::vector<Member> members = fleet(40, 0);
         for (unsigned n = 0; n < 100; ++n) {
