--- a/src/include/reachlead/upstreamdirectory.h
+++ b/src/include/reachlead/upstreamdirectory.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which upstreams there are, as their registry tells, and what is believed while the registry is
-/// away.
+/// The upstreams listed in the registry, and those still in use during and shortly after an outage
+/// of the registry.
 
 #pragma once
 
@@ -24,21 +24,21 @@
 
 namespace reachlead {
 
-/// Stands for an upstream's id in short messages. Two ids may share one by chance (among 12,000:
-/// one chance in sixty), so it serves only where a mix-up does no harm.
+/// Compact form of an upstream's id in messages. Two ids may have the same hash (probability 1/60
+/// among 12,000 upstreams), so it is used only where a confusion does no harm.
 using UpstreamHash = std::uint32_t;
 UpstreamHash upstreamHash(const UpstreamId &id);
 
-/// An upstream as its registry entry tells.
+/// An upstream's registry entry.
 struct UpstreamEntry
 {
     UpstreamId id;
     ServiceName service;
     Endpoint address;
     ZoneName zone;
-    unsigned slots = 1; ///< requests it works on at once
+    unsigned slots = 1; ///< requests that it runs concurrently
     bool leaving = false; ///< takes no new work
-    std::uint32_t coldLeftMs = 0; ///< it stayed cold for this long when the entry was written
+    std::uint32_t coldLeftMs = 0; ///< remaining cold time when the entry was written
     std::uint64_t revision = 0; ///< of the entry's last change
 
     template <class Archive> void serialize(Archive &ar)
@@ -50,29 +50,30 @@
 /// A change of one entry.
 struct UpstreamChange
 {
-    UpstreamEntry entry; ///< when removed, only the name counts: it has no life left
+    UpstreamEntry entry; ///< if removed, only the name is valid, not the incarnation
     bool removed = false;
 
     template <class Archive> void serialize(Archive &ar) { ar(entry, removed); }
 };
 
-/// An upstream that the registry lacks since an outage and that is used a little longer.
+/// An upstream that is missing in the registry after an outage and is still used for a grace time.
 struct HeldUpstream
 {
     UpstreamEntry entry;
-    std::int32_t leftMs = 0; ///< until it counts as gone
+    std::int32_t leftMs = 0; ///< until it is removed
 
     template <class Archive> void serialize(Archive &ar) { ar(entry, leftMs); }
 };
 
-/// What one directory tells another: the registry at a revision, and apart from it what is believed
-/// beyond that.
+/// An update from one directory to another: the registry at a revision and, separately, the
+/// upstreams in use that are missing in it.
 struct RegistryUpdate
 {
     std::uint64_t revision = 0;
-    std::uint64_t changesFrom = 0; ///< the asker's revision
-    std::vector<UpstreamChange> changes; ///< behind changesFrom
-    std::optional<std::vector<UpstreamEntry>> snapshot; ///< where changes could not be told
+    std::uint64_t changesFrom = 0; ///< the querying gateway's revision
+    std::vector<UpstreamChange> changes; ///< after changesFrom
+    std::optional<std::vector<UpstreamEntry>>
+        snapshot; ///< all entries, if the changes are not known
     std::vector<HeldUpstream> held; ///< not in the registry at that revision
 
     template <class Archive> void serialize(Archive &ar)
@@ -83,67 +84,68 @@
 
 /// The registry's entries by id. Not thread-safe, reads no clock.
 ///
-/// While the registry is away the last entries stay in use. Entries that lapsed meanwhile may come
-/// back soon after its return, so what the registry's first answer after an outage lacks is used
-/// until the end of reregistrationGrace, unless it came back. A removal that is seen later is a
-/// departure and takes effect at once. Held entries are no part of what is told under a revision:
-/// an entry passed on under a later revision than its removal's would be used for 2 s more at each
-/// gateway that hears of it.
+/// While the registry is unreachable the last entries stay in use. Entries that lapsed meanwhile
+/// may be written again soon after the outage, so entries missing in the registry's first response
+/// after it are held in use until the end of reregistrationGrace, unless they reappear. A removal
+/// seen later is a departure and takes effect at once. Held entries are not part of the state that
+/// is sent under a revision: an entry passed on under a later revision than that of its removal
+/// would be used for 2 s more at each gateway that receives it.
 ///
-/// An upstream that started again under its name is another upstream: its earlier life is gone at
-/// once and is not held, and a late word of it changes nothing.
+/// An upstream that restarted under its name is a new upstream: its earlier incarnation is removed
+/// at once and not held, and a late message about it has no effect.
 class UpstreamDirectory
 {
 public:
     UpstreamDirectory() = default;
-    // The index by service points into the entries, which keep their places when moved.
+    // The index by service points into the entries, whose addresses stay valid when the map is
+    // moved.
     UpstreamDirectory(const UpstreamDirectory &) = delete;
     UpstreamDirectory &operator=(const UpstreamDirectory &) = delete;
     UpstreamDirectory(UpstreamDirectory &&) noexcept = default;
     UpstreamDirectory &operator=(UpstreamDirectory &&) noexcept = default;
     ~UpstreamDirectory() = default;
 
-    /// What changed in the set of usable upstreams.
+    /// Changes of the set of usable upstreams.
     struct UsableChanges
     {
         std::vector<UpstreamId> added;
-        std::vector<UpstreamId> withdrawn; ///< gone, now leaving, or in a zone now evacuated
+        std::vector<UpstreamId> withdrawn; ///< removed, now leaving, or in a zone now evacuated
     };
 
-    /// Time for entries that lapsed with the registry to be written again: upstreams write about
-    /// once a second, and the registry's page names two seconds.
+    /// Time for entries that lapsed during an outage of the registry to be written again: upstreams
+    /// write about once a second, and the registry's documentation specifies 2 s.
     static constexpr Duration reregistrationGrace = milliseconds(2000);
 
-    /// Takes the registry's whole list as of \p revision; an older one changes nothing.
+    /// Applies the registry's whole list as of \p revision; an older one is ignored.
     UsableChanges replaceAll(const std::vector<UpstreamEntry> &entries, std::uint64_t revision,
                              Time now);
 
-    /// Takes the registry's changes up to \p revision; older ones change nothing.
+    /// Applies the registry's changes up to \p revision; older ones are ignored.
     UsableChanges applyChanges(const std::vector<UpstreamChange> &changes, std::uint64_t revision,
                                Time now);
 
-    /// What a directory at \p revision lacks: changes where they can be told, else all. Nothing is
-    /// lacked by one whose digest() is the same: gateways that list a registry at the same time do
-    /// so at different revisions, and would else send each other all of it.
+    /// The update for a directory at \p revision: changes if they are still known, otherwise all
+    /// entries. No entries are sent if its \p digest equals digest(): gateways that list the
+    /// registry at the same time get different revisions, and would otherwise send each other all
+    /// entries.
     RegistryUpdate updateSince(std::uint64_t revision, Time now, std::uint64_t digest = 0) const;
 
-    /// A number by which the registry's entries are told apart from others, with the revisions of
-    /// their last changes; 0: none.
+    /// Digest of the registry's entries and the revisions of their last changes; 0: no entries.
     std::uint64_t digest() const;
 
-    /// Takes what another directory tells; older news, and changes from a later revision than this
-    /// one's, change nothing.
-    UsableChanges applyUpdate(const RegistryUpdate &news, Time now);
+    /// Applies an update from another directory; older updates, and changes from a later revision
+    /// than this directory's, are ignored.
+    UsableChanges applyUpdate(const RegistryUpdate &update, Time now);
 
-    /// The entries that the registry lacks since an outage and that are still used.
+    /// The ids of the held entries: missing in the registry after an outage and still in use.
     std::vector<UpstreamId> missing() const;
 
-    /// Takes the upstreams of these zones out of use, and takes back those of all others. It is no
-    /// change of the registry, and no part of what is told under its revision.
+    /// Takes the upstreams of these zones out of use and those of all others back into use. This is
+    /// not a change of the registry, so it is not part of the updates sent under its revision.
     UsableChanges setEvacuated(const ZoneSet &zones);
 
-    /// Takes an upstream out of use that said in an answer, here or at another gateway, that it
-    /// leaves. Like an evacuation, it is no change of the registry.
+    /// Takes an upstream out of use that announced in an answer, here or at another gateway, that
+    /// it is leaving. Like an evacuation, this is not a change of the registry.
     UsableChanges setLeaving(const UpstreamId &id, Time now);
     const LeavingUpstreams &leaving() const { return m_leaving; }
 
@@ -152,48 +154,47 @@
     {
         return !isLeaving(entry) && !isEvacuated(entry);
     }
-    /// By its registry entry or by its own answers.
+    /// Whether an upstream is leaving, by its registry entry or by its own answers.
     bool isLeaving(const UpstreamEntry &entry) const
     {
         return entry.leaving || m_leaving.contains(entry.id);
     }
     bool isEvacuated(const UpstreamEntry &entry) const { return m_evacuated.contains(entry.zone); }
 
-    /// The registry no longer answers.
+    /// The registry no longer responds.
     void lostContact();
 
-    /// The registry answers again.
+    /// The registry responds again.
     void regainedContact(Time now);
 
-    /// Carries out the removals that were held back and are due, and forgets upstreams that left.
+    /// Removes held entries whose grace time is over, and forgets leaving upstreams without an
+    /// entry.
     UsableChanges expire(Time now);
 
     const UpstreamEntry *find(const UpstreamId &id) const;
-    /// All that are used, held ones included.
+    /// All entries in use, held ones included.
     const std::map<UpstreamId, UpstreamEntry> &entries() const { return m_entries; }
 
-    /// The registry's entries at revision(): what is used less what is held.
+    /// The registry's entries at revision(): those in use without the held ones.
     std::vector<UpstreamEntry> registered() const;
 
-    /// The upstreams of a service that take work, in the order of their ids. Valid until the next
-    /// change.
+    /// The upstreams of a service that take work, ordered by id. Valid until the next change.
     const std::vector<const UpstreamEntry *> &usableUpstreams(const ServiceName &service) const;
 
-    /// What changed in the registry behind \p revision; nothing when that is too long ago to be
-    /// told.
+    /// The changes of the registry after \p revision; empty if they are no longer known.
     std::optional<std::vector<UpstreamChange>> changesSince(std::uint64_t revision) const;
 
-    /// An upstream by the tag that stands for its id in short messages; null when there is none.
-    const UpstreamEntry *findByHash(UpstreamHash tag) const;
+    /// Finds an upstream by the hash of its id; null if there is none.
+    const UpstreamEntry *findByHash(UpstreamHash hash) const;
 
-    /// Changes that are remembered, about 100 bytes each: a day of the largest fleet has some
-    /// thousands.
+    /// Capacity of the change log, with about 100 bytes for each change: the largest fleet has some
+    /// thousand changes a day.
     static constexpr std::size_t maxLoggedChanges = 2000;
 
-    /// Rises with each change of the entries.
-    std::uint64_t changeCount() const { return m_changes; }
+    /// Incremented by each change of the entries or of their use.
+    std::uint64_t changeCount() const { return m_changeCount; }
 
-    /// The registry's revision that the entries stand for; 0: nothing was heard yet.
+    /// The registry's revision of the entries; 0: none was received yet.
     std::uint64_t revision() const { return m_revision; }
 
     bool inContact() const { return m_inContact; }
@@ -207,16 +208,16 @@
 
     using HeldUntil = std::map<UpstreamId, Time>;
 
-    bool holdsRemovals(Time now) const { return m_catchesUp && now < m_graceUntil; }
-    void jumpTo(std::uint64_t revision);
+    bool isHoldingRemovals(Time now) const { return m_catchesUp && now < m_graceUntil; }
+    void advanceToList(std::uint64_t revision);
     void put(const UpstreamEntry &entry, UsableChanges *changed);
     void putAll(const std::vector<UpstreamEntry> &entries, Time now, const HeldUntil &held,
                 UsableChanges *changed);
     void putChanges(const std::vector<UpstreamChange> &changes, Time now, const HeldUntil &held,
                     UsableChanges *changed);
     void erase(const UpstreamId &id);
-    const UpstreamEntry *lifeOf(const std::string &name) const;
-    bool supersedes(const UpstreamEntry &entry, UsableChanges *changed);
+    const UpstreamEntry *findByName(const std::string &name) const;
+    bool supersede(const UpstreamEntry &entry, UsableChanges *changed);
     void log(const UpstreamId &id);
     void buildIndex() const;
     void remove(const UpstreamId &id, Time now, const HeldUntil &held, UsableChanges *changed);
@@ -224,20 +225,20 @@
                                   const HeldUntil &held) const;
 
     std::map<UpstreamId, UpstreamEntry> m_entries;
-    std::map<UpstreamId, Time> m_missing; ///< held back until
+    std::map<UpstreamId, Time> m_missing; ///< end of the hold of each held entry
     ZoneSet m_evacuated;
     LeavingUpstreams m_leaving;
-    std::uint64_t m_changes = 0;
+    std::uint64_t m_changeCount = 0;
     std::deque<LoggedChange> m_log; ///< oldest first
-    std::uint64_t m_logFloor = 0; ///< the log is complete behind this revision
-    // Built when asked for, at m_indexedAt changes.
+    std::uint64_t m_logFloor = 0; ///< the log is complete after this revision
+    // Built on demand; current while m_indexedAt equals m_changeCount.
     mutable std::map<ServiceName, std::vector<const UpstreamEntry *>> m_usable;
-    mutable std::unordered_map<UpstreamHash, const UpstreamEntry *> m_byTag;
+    mutable std::unordered_map<UpstreamHash, const UpstreamEntry *> m_byHash;
     mutable std::uint64_t m_indexedAt = 0;
     std::uint64_t m_revision = 0;
     bool m_inContact = false;
-    bool m_wasInContact = false; ///< at any time before
-    bool m_catchesUp = false; ///< the registry's first answer after an outage is still to come
+    bool m_wasInContact = false; ///< at any earlier time
+    bool m_catchesUp = false; ///< the first response after an outage is still pending
     Time m_graceUntil{};
 };
 
--- a/src/include/reachlead/upstreamid.h
+++ b/src/include/reachlead/upstreamid.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The identity of an upstream's life.
+/// The identity of an incarnation of an upstream.
 
 #pragma once
 
@@ -14,12 +14,12 @@
 
 namespace reachlead {
 
-/// One life of one upstream process. A process may start again under its name; what was known of
-/// its earlier life says nothing of the new one.
+/// An incarnation of an upstream process. A process may restart under its name; what was known of
+/// its earlier incarnation does not apply to the new one.
 struct UpstreamId
 {
     std::string text; ///< its name in the registry
-    std::uint64_t startedAt = 0; ///< start of this life, Unix ms; 0: not told
+    std::uint64_t startedAt = 0; ///< start of this incarnation, Unix ms; 0: not known
 
     UpstreamId() = default;
     explicit UpstreamId(std::string name, std::uint64_t start = 0)
--- a/src/libreachlead/upstreamdirectory.cpp
+++ b/src/libreachlead/upstreamdirectory.cpp
@@ -14,13 +14,14 @@
 
 UpstreamHash upstreamHash(const UpstreamId &id)
 {
-    const std::uint64_t life = XXH64(&id.startedAt, sizeof id.startedAt, 0);
-    return XXH32(id.text.data(), id.text.size(), static_cast<XXH32_hash_t>(life));
+    const std::uint64_t seed = XXH64(&id.startedAt, sizeof id.startedAt, 0);
+    return XXH32(id.text.data(), id.text.size(), static_cast<XXH32_hash_t>(seed));
 }
 
-/// Moves on to a whole list's revision. What came and went behind the last one is unknown then, so
-/// that no changes can be told across it: a directory that knows such an entry would keep it.
-void UpstreamDirectory::jumpTo(std::uint64_t revision)
+/// Advances to the revision of a whole list. Entries that were added and removed since the previous
+/// revision are not known then, so no changes can be sent across the list: a directory that knows
+/// such an entry would keep it.
+void UpstreamDirectory::advanceToList(std::uint64_t revision)
 {
     if (revision != m_revision)
         m_logFloor = revision;
@@ -60,7 +61,7 @@
     UsableChanges changed;
     if (revision < m_revision)
         return changed;
-    jumpTo(revision);
+    advanceToList(revision);
     putAll(entries, now, {}, &changed);
     m_catchesUp = false;
     return changed;
@@ -82,25 +83,25 @@
 RegistryUpdate UpstreamDirectory::updateSince(std::uint64_t revision, Time now,
                                               std::uint64_t digest) const
 {
-    RegistryUpdate news;
-    news.revision = m_revision;
+    RegistryUpdate update;
+    update.revision = m_revision;
     if (m_revision <= revision)
-        return news;
+        return update;
     for (const auto &[id, until] : m_missing) {
         const auto left = static_cast<std::int32_t>(toMillis(std::max(until - now, Duration{})));
-        news.held.push_back({m_entries.at(id), left});
+        update.held.push_back({m_entries.at(id), left});
     }
     if (auto changes = changesSince(revision)) {
-        news.changesFrom = revision;
-        news.changes = std::move(*changes);
-        return news;
+        update.changesFrom = revision;
+        update.changes = std::move(*changes);
+        return update;
     }
     if (revision > 0 && digest == this->digest()) {
-        news.changesFrom = revision;
-        return news;
+        update.changesFrom = revision;
+        return update;
     }
-    news.snapshot = registered();
-    return news;
+    update.snapshot = registered();
+    return update;
 }
 
 std::uint64_t UpstreamDirectory::digest() const
@@ -109,34 +110,35 @@
     for (const auto &[id, entry] : m_entries) {
         if (m_missing.contains(id))
             continue;
-        const std::uint64_t life = XXH64(&id.startedAt, sizeof id.startedAt, entry.revision);
-        digest ^= XXH64(id.text.data(), id.text.size(), life);
+        const std::uint64_t seed = XXH64(&id.startedAt, sizeof id.startedAt, entry.revision);
+        digest ^= XXH64(id.text.data(), id.text.size(), seed);
     }
     return digest;
 }
 
-UpstreamDirectory::UsableChanges UpstreamDirectory::applyUpdate(const RegistryUpdate &news,
+UpstreamDirectory::UsableChanges UpstreamDirectory::applyUpdate(const RegistryUpdate &update,
                                                                 Time now)
 {
     UsableChanges changed;
-    const bool fits = news.snapshot || (m_revision > 0 && news.changesFrom <= m_revision);
-    if (news.revision <= m_revision || !fits)
+    const bool isApplicable =
+        update.snapshot || (m_revision > 0 && update.changesFrom <= m_revision);
+    if (update.revision <= m_revision || !isApplicable)
         return changed;
-    if (news.snapshot)
-        jumpTo(news.revision);
-    m_revision = news.revision;
+    if (update.snapshot)
+        advanceToList(update.revision);
+    m_revision = update.revision;
     HeldUntil held;
-    for (const HeldUpstream &it : news.held) {
+    for (const HeldUpstream &it : update.held) {
         const Duration left =
             std::clamp<Duration>(milliseconds(it.leftMs), {}, reregistrationGrace);
         held.emplace(it.entry.id, now + left);
-        if (news.snapshot && !m_entries.contains(it.entry.id))
-            put(it.entry, &changed); // taken for absent below, and so held
+        if (update.snapshot && !m_entries.contains(it.entry.id))
+            put(it.entry, &changed); // not listed, so putAll() removes it with a hold
     }
-    if (news.snapshot)
-        putAll(*news.snapshot, now, held, &changed);
+    if (update.snapshot)
+        putAll(*update.snapshot, now, held, &changed);
     else
-        putChanges(news.changes, now, held, &changed);
+        putChanges(update.changes, now, held, &changed);
     return changed;
 }
 
@@ -151,7 +153,7 @@
 {
     UsableChanges changed;
     const ZoneSet before = std::exchange(m_evacuated, zones);
-    ++m_changes;
+    ++m_changeCount;
     for (const auto &[id, entry] : m_entries) {
         const bool was = before.contains(entry.zone);
         const bool is = zones.contains(entry.zone);
@@ -168,7 +170,7 @@
     const bool tookWork = entry != nullptr && takesWork(*entry);
     if (!m_leaving.add(id, now) || !tookWork)
         return changed;
-    ++m_changes;
+    ++m_changeCount;
     changed.withdrawn.push_back(id);
     return changed;
 }
@@ -213,16 +215,16 @@
 
 void UpstreamDirectory::buildIndex() const
 {
-    if (m_indexedAt == m_changes)
+    if (m_indexedAt == m_changeCount)
         return;
     m_usable.clear();
-    m_byTag.clear();
+    m_byHash.clear();
     for (const UpstreamEntry &entry : m_entries | std::views::values) {
-        m_byTag[upstreamHash(entry.id)] = &entry;
+        m_byHash[upstreamHash(entry.id)] = &entry;
         if (takesWork(entry))
             m_usable[entry.service].push_back(&entry);
     }
-    m_indexedAt = m_changes;
+    m_indexedAt = m_changeCount;
 }
 
 const std::vector<const UpstreamEntry *> &
@@ -234,11 +236,11 @@
     return it == m_usable.end() ? none : it->second;
 }
 
-const UpstreamEntry *UpstreamDirectory::findByHash(UpstreamHash tag) const
+const UpstreamEntry *UpstreamDirectory::findByHash(UpstreamHash hash) const
 {
     buildIndex();
-    const auto it = m_byTag.find(tag);
-    return it == m_byTag.end() ? nullptr : it->second;
+    const auto it = m_byHash.find(hash);
+    return it == m_byHash.end() ? nullptr : it->second;
 }
 
 void UpstreamDirectory::log(const UpstreamId &id)
@@ -264,7 +266,7 @@
     for (const std::string &name : names) {
         UpstreamChange change;
         change.entry.id = UpstreamId(name);
-        const UpstreamEntry *entry = lifeOf(name);
+        const UpstreamEntry *entry = findByName(name);
         change.removed = entry == nullptr || m_missing.contains(entry->id);
         if (!change.removed)
             change.entry = *entry;
@@ -283,56 +285,56 @@
 
 void UpstreamDirectory::erase(const UpstreamId &id)
 {
-    ++m_changes;
+    ++m_changeCount;
     m_entries.erase(id);
 }
 
-/// The life of an upstream that is known; null when there is none.
-const UpstreamEntry *UpstreamDirectory::lifeOf(const std::string &name) const
+/// The known incarnation of an upstream; null if there is none.
+const UpstreamEntry *UpstreamDirectory::findByName(const std::string &name) const
 {
     const auto it = m_entries.lower_bound(UpstreamId(name));
     return it != m_entries.end() && it->first.text == name ? &it->second : nullptr;
 }
 
-/// Makes room for a life that is newer than the known one, which is gone; false for an older life.
-bool UpstreamDirectory::supersedes(const UpstreamEntry &entry, UsableChanges *changed)
+/// Removes the known incarnation if the entry's is newer; false if the entry's is older.
+bool UpstreamDirectory::supersede(const UpstreamEntry &entry, UsableChanges *changed)
 {
-    const UpstreamEntry *known = lifeOf(entry.id.text);
+    const UpstreamEntry *known = findByName(entry.id.text);
     if (known == nullptr || known->id == entry.id)
         return true;
-    const bool bothTold = known->id.startedAt > 0 && entry.id.startedAt > 0;
-    if (bothTold ? entry.id.startedAt < known->id.startedAt : entry.revision < known->revision)
+    const bool bothKnown = known->id.startedAt > 0 && entry.id.startedAt > 0;
+    if (bothKnown ? entry.id.startedAt < known->id.startedAt : entry.revision < known->revision)
         return false;
-    const UpstreamId gone = known->id;
-    m_missing.erase(gone);
-    erase(gone);
-    changed->withdrawn.push_back(gone);
+    const UpstreamId superseded = known->id;
+    m_missing.erase(superseded);
+    erase(superseded);
+    changed->withdrawn.push_back(superseded);
     return true;
 }
 
 void UpstreamDirectory::put(const UpstreamEntry &entry, UsableChanges *changed)
 {
-    if (!supersedes(entry, changed))
+    if (!supersede(entry, changed))
         return;
     const bool wasHeld = m_missing.erase(entry.id) > 0;
-    const auto [it, fresh] = m_entries.try_emplace(entry.id, entry);
+    const auto [it, isNew] = m_entries.try_emplace(entry.id, entry);
     if (wasHeld)
         log(entry.id);
     if (entry.revision < it->second.revision)
-        return; // a page that was read before the change that is known
-    if (fresh || entry.revision > it->second.revision)
+        return; // from a page that was read before the known change
+    if (isNew || entry.revision > it->second.revision)
         log(entry.id);
-    ++m_changes;
-    const bool wasLeaving = !fresh && it->second.leaving;
+    ++m_changeCount;
+    const bool wasLeaving = !isNew && it->second.leaving;
     it->second = entry;
-    if (fresh && !entry.leaving)
+    if (isNew && !entry.leaving)
         changed->added.push_back(entry.id);
     if (entry.leaving && !wasLeaving)
         changed->withdrawn.push_back(entry.id);
 }
 
-/// How long an entry that the registry lacks is used, by this directory's own outage or by what
-/// another one \p held; nothing: it is gone.
+/// The end of the hold of an entry that is missing in the registry, after this directory's own
+/// outage or because another one holds it by \p held; empty if it is removed at once.
 std::optional<Time> UpstreamDirectory::heldUntil(const UpstreamEntry &entry, Time now,
                                                  const HeldUntil &held) const
 {
@@ -340,27 +342,27 @@
         return std::nullopt;
     if (const auto it = held.find(entry.id); it != held.end() && it->second > now)
         return it->second;
-    return holdsRemovals(now) ? std::optional(m_graceUntil) : std::nullopt;
+    return isHoldingRemovals(now) ? std::optional(m_graceUntil) : std::nullopt;
 }
 
 void UpstreamDirectory::remove(const UpstreamId &id, Time now, const HeldUntil &held,
                                UsableChanges *changed)
 {
-    const UpstreamEntry *known = lifeOf(id.text);
+    const UpstreamEntry *known = findByName(id.text);
     if (known == nullptr) {
-        log(id); // it came and went between two changes that were told: others may know it
+        log(id); // it was added and removed between two received updates: others may know it
         return;
     }
-    const UpstreamId life = known->id;
-    if (m_missing.contains(life))
-        return; // its removal was taken before
-    log(life);
+    const UpstreamId knownId = known->id;
+    if (m_missing.contains(knownId))
+        return; // it is held since its removal
+    log(knownId);
     if (const auto until = heldUntil(*known, now, held)) {
-        m_missing.emplace(life, *until);
+        m_missing.emplace(knownId, *until);
         return;
     }
-    erase(life);
-    changed->withdrawn.push_back(life);
+    erase(knownId);
+    changed->withdrawn.push_back(knownId);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/upstreamdirectory_fleet_test.cpp
+++ b/src/libreachlead/upstreamdirectory_fleet_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Directories that ask their registry and each other in any order.
+/// Directories that query their registry and each other in any order.
 
 #include <algorithm>
 #include <array>
@@ -22,8 +22,8 @@
 
 namespace {
 
-/// A registry with its history, and the directories of some gateways that ask it and each other in
-/// any order.
+/// A registry with its history, and the directories of some gateways that query it and each other
+/// in any order.
 class DirectoryFleet
 {
 public:
@@ -37,41 +37,41 @@
         }
     }
 
-    /// One step of what may happen; \p who and \p with are gateways, \p which an upstream.
+    /// Executes a step; \p who and \p with select gateways, \p which an upstream.
     void step(unsigned kind, unsigned who, unsigned with, unsigned which)
     {
         using Step = void (DirectoryFleet::*)(std::size_t, std::size_t, unsigned);
         static constexpr std::array<Step, 9> steps{
-            &DirectoryFleet::write, &DirectoryFleet::leave, &DirectoryFleet::depart,
-            &DirectoryFleet::cut,   &DirectoryFleet::mend,  &DirectoryFleet::follow,
-            &DirectoryFleet::list,  &DirectoryFleet::tell,  &DirectoryFleet::pass};
+            &DirectoryFleet::write,      &DirectoryFleet::leave,     &DirectoryFleet::depart,
+            &DirectoryFleet::disconnect, &DirectoryFleet::reconnect, &DirectoryFleet::follow,
+            &DirectoryFleet::list,       &DirectoryFleet::update,    &DirectoryFleet::advanceTime};
         (this->*steps[kind % steps.size()])(who % gateways, with % gateways, which % 5);
         for (UpstreamDirectory &it : m_directories)
             it.expire(m_now);
     }
 
-    /// True when each directory's view is the registry's at its revision.
-    bool viewsAreTrue() const
+    /// True if each directory has the entries of the registry at the directory's revision.
+    bool viewsMatchTheRegistry() const
     {
         return std::ranges::all_of(m_directories, [&](const UpstreamDirectory &it) {
             const auto view = it.registered();
-            const auto &truth = m_history.at(it.revision());
-            return std::ranges::equal(view, truth, [](const auto &a, const auto &b) {
+            const auto &expected = m_history.at(it.revision());
+            return std::ranges::equal(view, expected, [](const auto &a, const auto &b) {
                 return a.id == b.id && a.revision == b.revision && a.leaving == b.leaving;
             });
         });
     }
 
-    /// True when none uses an upstream past the bound after a gateway in touch saw it leave, but
-    /// for what a gateway holds after an outage of its own: that ends as long after the outage's
-    /// end.
-    bool noneUsesTheDeparted() const
+    /// True if no directory uses an upstream for longer than reregistrationGrace after a connected
+    /// gateway saw its departure. What a gateway holds after its own outage may be used for as long
+    /// after the end of the outage.
+    bool noneUsesDepartedUpstreams() const
     {
         for (std::size_t n = 0; n < gateways; ++n) {
             const UpstreamDirectory &it = m_directories.at(n);
-            const bool isUsed = std::ranges::any_of(m_seenGone, [&](const auto &gone) {
-                const auto &[id, seen] = gone;
-                const Time from = std::max(seen.at, m_mended.at(n));
+            const bool isUsed = std::ranges::any_of(m_departures, [&](const auto &departure) {
+                const auto &[id, seen] = departure;
+                const Time from = std::max(seen.at, m_regainedAt.at(n));
                 return it.revision() >= seen.revision && it.find(id) != nullptr
                     && m_now >= from + UpstreamDirectory::reregistrationGrace;
             });
@@ -82,13 +82,13 @@
     }
 
 private:
-    struct Seen
+    struct Departure
     {
         std::uint64_t revision = 0;
         Time at;
     };
 
-    static UpstreamId idOf(unsigned which) { return UpstreamId(std::to_string(which)); }
+    static UpstreamId upstreamId(unsigned which) { return UpstreamId(std::to_string(which)); }
 
     std::vector<UpstreamEntry> registryNow() const
     {
@@ -97,7 +97,7 @@
         return all;
     }
 
-    void note(const UpstreamChange &change)
+    void record(const UpstreamChange &change)
     {
         ++m_revision;
         if (change.removed) {
@@ -115,40 +115,40 @@
     void write(std::size_t /*who*/, std::size_t /*with*/, unsigned which)
     {
         UpstreamChange change;
-        change.entry.id = idOf(which);
+        change.entry.id = upstreamId(which);
         change.entry.service = ServiceName("s");
-        m_seenGone.erase(change.entry.id);
-        note(change);
+        m_departures.erase(change.entry.id);
+        record(change);
     }
 
     void leave(std::size_t /*who*/, std::size_t /*with*/, unsigned which)
     {
-        const auto it = m_registry.find(idOf(which));
+        const auto it = m_registry.find(upstreamId(which));
         if (it == m_registry.end())
             return;
         UpstreamChange change{it->second, false};
         change.entry.leaving = true;
-        note(change);
+        record(change);
     }
 
     void depart(std::size_t /*who*/, std::size_t /*with*/, unsigned which)
     {
         UpstreamChange change;
-        change.entry.id = idOf(which);
+        change.entry.id = upstreamId(which);
         change.removed = true;
         if (m_registry.contains(change.entry.id))
-            note(change);
+            record(change);
     }
 
-    void cut(std::size_t who, std::size_t /*with*/, unsigned /*which*/)
+    void disconnect(std::size_t who, std::size_t /*with*/, unsigned /*which*/)
     {
         m_directories.at(who).lostContact();
     }
 
-    void mend(std::size_t who, std::size_t /*with*/, unsigned /*which*/)
+    void reconnect(std::size_t who, std::size_t /*with*/, unsigned /*which*/)
     {
         if (!m_directories.at(who).inContact())
-            m_mended.at(who) = m_now;
+            m_regainedAt.at(who) = m_now;
         m_directories.at(who).regainedContact(m_now);
     }
 
@@ -163,36 +163,37 @@
                 changes.push_back(change);
         }
         const auto changed = it.applyChanges(changes, m_revision, m_now);
-        noteSeen(changed.withdrawn);
+        recordDepartures(changed.withdrawn);
     }
 
     void list(std::size_t who, std::size_t /*with*/, unsigned /*which*/)
     {
         UpstreamDirectory &it = m_directories.at(who);
         if (it.inContact())
-            noteSeen(it.replaceAll(registryNow(), m_revision, m_now).withdrawn);
+            recordDepartures(it.replaceAll(registryNow(), m_revision, m_now).withdrawn);
     }
 
-    void tell(std::size_t who, std::size_t with, unsigned /*which*/)
+    void update(std::size_t who, std::size_t with, unsigned /*which*/)
     {
-        UpstreamDirectory &hearer = m_directories.at(who);
-        const RegistryUpdate news = m_directories.at(with).updateSince(hearer.revision(), m_now);
-        if (!news.held.empty())
-            m_mended.at(who) = std::max(m_mended.at(who), m_mended.at(with));
-        hearer.applyUpdate(news, m_now);
+        UpstreamDirectory &receiver = m_directories.at(who);
+        const RegistryUpdate message =
+            m_directories.at(with).updateSince(receiver.revision(), m_now);
+        if (!message.held.empty())
+            m_regainedAt.at(who) = std::max(m_regainedAt.at(who), m_regainedAt.at(with));
+        receiver.applyUpdate(message, m_now);
     }
 
-    void pass(std::size_t /*who*/, std::size_t /*with*/, unsigned which)
+    void advanceTime(std::size_t /*who*/, std::size_t /*with*/, unsigned which)
     {
         m_now += milliseconds(300 * (which + 1));
     }
 
-    /// A gateway that the registry answers saw these leave.
-    void noteSeen(const std::vector<UpstreamId> &left)
+    /// A gateway connected to the registry saw these departures.
+    void recordDepartures(const std::vector<UpstreamId> &left)
     {
         for (const UpstreamId &id : left) {
             if (!m_registry.contains(id))
-                m_seenGone.try_emplace(id, Seen{m_revision, m_now});
+                m_departures.try_emplace(id, Departure{m_revision, m_now});
         }
     }
 
@@ -201,14 +202,15 @@
     std::map<UpstreamId, UpstreamEntry> m_registry;
     std::vector<std::pair<std::uint64_t, UpstreamChange>> m_log;
     std::map<std::uint64_t, std::vector<UpstreamEntry>> m_history{{1, {}}};
-    std::map<UpstreamId, Seen> m_seenGone;
+    std::map<UpstreamId, Departure> m_departures;
     std::array<UpstreamDirectory, gateways> m_directories;
-    std::array<Time, gateways> m_mended{}; ///< end of the outage that excuses what each one holds
+    /// End of the outage after which each one may hold entries.
+    std::array<Time, gateways> m_regainedAt{};
 };
 
 } // namespace
 
-/// What directories tell each other stays true to the registry, and none uses what left.
+/// Directories that update each other match the registry, and none uses departed upstreams.
 class UpstreamDirectoryFleetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UpstreamDirectoryFleetTest);
@@ -222,8 +224,8 @@
             DirectoryFleet fleet;
             for (const auto &[kind, gateways, which] : steps) {
                 fleet.step(kind, gateways & 15U, gateways >> 4U, which);
-                RC_ASSERT(fleet.viewsAreTrue());
-                RC_ASSERT(fleet.noneUsesTheDeparted());
+                RC_ASSERT(fleet.viewsMatchTheRegistry());
+                RC_ASSERT(fleet.noneUsesDepartedUpstreams());
             }
         }));
     }
--- a/src/libreachlead/upstreamdirectory_incarnations_test.cpp
+++ b/src/libreachlead/upstreamdirectory_incarnations_test.cpp
@@ -14,33 +14,33 @@
 
 namespace reachlead {
 
-/// Upstreams that start again under their names.
-class UpstreamLivesTest : public CppUnit::TestFixture
+/// Upstreams that restart under their names.
+class UpstreamIncarnationsTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(UpstreamLivesTest);
-    CPPUNIT_TEST(nextLifeIsAnotherUpstream);
-    CPPUNIT_TEST(earlierLifeIsNotHeldAfterAnOutage);
-    CPPUNIT_TEST(lateWordOfAnEarlierLifeChangesNothing);
-    CPPUNIT_TEST(removalEndsWhicheverLifeIsKnown);
-    CPPUNIT_TEST(changesTellOfTheNewestLifeAlone);
-    CPPUNIT_TEST(bookKnowsNothingOfTheNextLife);
-    CPPUNIT_TEST(anyOrderOfStartsWordsAndLosses);
+    CPPUNIT_TEST_SUITE(UpstreamIncarnationsTest);
+    CPPUNIT_TEST(nextIncarnationIsAnotherUpstream);
+    CPPUNIT_TEST(earlierIncarnationIsNotHeldAfterAnOutage);
+    CPPUNIT_TEST(lateMessageOfAnEarlierIncarnationIsIgnored);
+    CPPUNIT_TEST(removalAppliesToWhicheverIncarnationIsKnown);
+    CPPUNIT_TEST(changesHaveOnlyTheNewestIncarnation);
+    CPPUNIT_TEST(tableKnowsNothingOfTheNextIncarnation);
+    CPPUNIT_TEST(anyOrderOfStartsMessagesAndRemovals);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
 
-    static UpstreamEntry entry(const std::string &name, std::uint64_t born, std::uint64_t revision,
-                               bool leaving = false)
+    static UpstreamEntry entry(const std::string &name, std::uint64_t startedAt,
+                               std::uint64_t revision, bool leaving = false)
     {
         UpstreamEntry made;
-        made.id = UpstreamId(name, born);
+        made.id = UpstreamId(name, startedAt);
         made.service = ServiceName("s");
         made.revision = revision;
         made.leaving = leaving;
         return made;
     }
 
-    /// One upstream in its life 7, known since first contact at revision 10.
+    /// A directory that knows incarnation 7 of an upstream since first contact at revision 10.
     static UpstreamDirectory known()
     {
         UpstreamDirectory made;
@@ -49,7 +49,7 @@
         return made;
     }
 
-    void nextLifeIsAnotherUpstream()
+    void nextIncarnationIsAnotherUpstream()
     {
         UpstreamDirectory directory = known();
         const auto changed = directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
@@ -62,8 +62,8 @@
         CPPUNIT_ASSERT(directory.findByHash(upstreamHash(UpstreamId("a", 8))) != nullptr);
     }
 
-    /// Were it held, calls would go to the next life, which may be leaving.
-    void earlierLifeIsNotHeldAfterAnOutage()
+    /// If it were held, calls would go to the next incarnation, which may be leaving.
+    void earlierIncarnationIsNotHeldAfterAnOutage()
     {
         UpstreamDirectory directory = known();
         directory.lostContact();
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(directory.missing().empty());
     }
 
-    void lateWordOfAnEarlierLifeChangesNothing()
+    void lateMessageOfAnEarlierIncarnationIsIgnored()
     {
         UpstreamDirectory directory = known();
         directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
@@ -83,7 +83,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.usableUpstreams(ServiceName("s")).size());
     }
 
-    void removalEndsWhicheverLifeIsKnown()
+    void removalAppliesToWhicheverIncarnationIsKnown()
     {
         UpstreamDirectory directory = known();
         UpstreamChange removal;
@@ -94,7 +94,7 @@
         CPPUNIT_ASSERT(directory.entries().empty());
     }
 
-    void changesTellOfTheNewestLifeAlone()
+    void changesHaveOnlyTheNewestIncarnation()
     {
         UpstreamDirectory directory = known();
         UpstreamDirectory other = known();
@@ -107,34 +107,34 @@
         CPPUNIT_ASSERT(other.find(UpstreamId("a", 9)) != nullptr);
     }
 
-    void bookKnowsNothingOfTheNextLife()
+    void tableKnowsNothingOfTheNextIncarnation()
     {
         UpstreamDirectory directory = known();
-        UpstreamTable book(ZoneName("z"), {});
-        book.connectionRefused(UpstreamId("a", 7), start);
-        SelectionQuery ask{ServiceName("s"), "m", {}};
+        UpstreamTable table(ZoneName("z"), {});
+        table.connectionRefused(UpstreamId("a", 7), start);
+        SelectionQuery query{ServiceName("s"), "m", {}};
         const std::vector<PromptPart> prompt{{1, 9000}, {2, 10}};
-        ask.prompt = prompt;
-        const auto first = book.select(ask, directory, start);
-        book.sent(first->upstream, ask, *first, start);
+        query.prompt = prompt;
+        const auto first = table.select(query, directory, start);
+        table.sent(first->upstream, query, *first, start);
         directory.applyChanges({{entry("a", 8, 11), false}}, 11, start);
-        book.removeUnlisted(directory);
-        const auto next = book.select(ask, directory, start);
+        table.removeUnlisted(directory);
+        const auto next = table.select(query, directory, start);
         CPPUNIT_ASSERT(next->upstream == UpstreamId("a", 8));
         CPPUNIT_ASSERT_EQUAL(TokenCount{9010}, next->prefillTokens);
-        CPPUNIT_ASSERT(book.load(next->upstream, start) == UpstreamLoad{});
+        CPPUNIT_ASSERT(table.load(next->upstream, start) == UpstreamLoad{});
     }
 
-    /// A registry that upstreams write to, also late words of earlier lives, and two directories of
-    /// which one hears from the other now and then: neither ever uses a life that has ended for
-    /// longer than an outage's grace, and both agree in the end.
-    void anyOrderOfStartsWordsAndLosses()
+    /// Upstreams write to a registry, also late messages of earlier incarnations. One directory
+    /// follows the registry, another one receives updates from the first now and then. Incarnations
+    /// must not be mixed up, and both directories must agree in the end.
+    void anyOrderOfStartsMessagesAndRemovals()
     {
         CPPUNIT_ASSERT(rc::check("any order", [](const std::vector<unsigned char> &steps) {
             constexpr std::array<const char *, 3> names{"a", "b", "c"};
             std::map<std::string, std::uint64_t> newest;
             UpstreamDirectory follower = known();
-            UpstreamDirectory hearer = known();
+            UpstreamDirectory receiver = known();
             newest["a"] = 7;
             std::uint64_t revision = 10;
             for (const unsigned char step : steps) {
@@ -142,28 +142,29 @@
                 ++revision;
                 UpstreamChange change;
                 const unsigned kind = step / 3 % 5;
-                std::uint64_t &born = newest[name];
+                std::uint64_t &startedAt = newest[name];
                 if (kind == 0)
-                    born = std::max<std::uint64_t>(born, 7) + 1; // it starts again
-                const std::uint64_t said = kind == 1 && born > 1 ? born - 1 : born; // a late word
+                    startedAt = std::max<std::uint64_t>(startedAt, 7) + 1; // it restarts
+                const std::uint64_t written =
+                    kind == 1 && startedAt > 1 ? startedAt - 1 : startedAt; // a late message
                 change.removed = kind == 2;
-                change.entry = entry(name, said, revision, kind == 3);
+                change.entry = entry(name, written, revision, kind == 3);
                 follower.applyChanges({change}, revision, start);
                 if (step >= 128)
-                    hearer.applyUpdate(follower.updateSince(hearer.revision(), start), start);
+                    receiver.applyUpdate(follower.updateSince(receiver.revision(), start), start);
                 for (const auto &[id, known] : follower.entries())
                     RC_ASSERT(id == known.id);
             }
-            hearer.applyUpdate(follower.updateSince(hearer.revision(), start), start);
-            RC_ASSERT(hearer.entries().size() == follower.entries().size());
+            receiver.applyUpdate(follower.updateSince(receiver.revision(), start), start);
+            RC_ASSERT(receiver.entries().size() == follower.entries().size());
             for (const auto &[id, known] : follower.entries()) {
-                const UpstreamEntry *heard = hearer.find(id);
-                RC_ASSERT(heard != nullptr && heard->leaving == known.leaving);
+                const UpstreamEntry *received = receiver.find(id);
+                RC_ASSERT(received != nullptr && received->leaving == known.leaving);
             }
         }));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamIncarnationsTest);
 
 } // namespace reachlead
--- a/src/libreachlead/upstreamdirectory_test.cpp
+++ b/src/libreachlead/upstreamdirectory_test.cpp
@@ -9,28 +9,28 @@
 
 namespace reachlead {
 
-/// What is believed of the upstreams while their registry changes, is away, and comes back.
+/// The upstreams known while their registry changes, is unreachable and responds again.
 class UpstreamDirectoryTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UpstreamDirectoryTest);
     CPPUNIT_TEST(changesTakeEffectAtOnce);
     CPPUNIT_TEST(usableUpstreamsAreFoundByService);
     CPPUNIT_TEST(changesLeadToTheSameEntries);
-    CPPUNIT_TEST(changesThatAreForgottenAreNotTold);
+    CPPUNIT_TEST(changesThatAreForgottenAreNotSent);
     CPPUNIT_TEST(olderListChangesNothing);
     CPPUNIT_TEST(olderPageDoesNotUndoAChange);
-    CPPUNIT_TEST(entriesThatLapsedWithTheRegistryAreKept);
-    CPPUNIT_TEST(entriesStillMissingAfterTheGraceAreGone);
-    CPPUNIT_TEST(leavingEntriesAreNotHeldBack);
-    CPPUNIT_TEST(firstContactHoldsNothingBack);
+    CPPUNIT_TEST(entriesThatLapsedInAnOutageAreKept);
+    CPPUNIT_TEST(entriesStillMissingAfterTheGraceAreRemoved);
+    CPPUNIT_TEST(leavingEntriesAreNotHeld);
+    CPPUNIT_TEST(firstContactHoldsNothing);
     CPPUNIT_TEST(sameRegistryAtAnotherRevisionIsNotSent);
-    CPPUNIT_TEST(heldEntriesAreToldApart);
-    CPPUNIT_TEST(heldEntryOfAnotherIsNotTakenWithChanges);
+    CPPUNIT_TEST(heldEntriesAreSentSeparately);
+    CPPUNIT_TEST(heldEntryOfAnotherIsNotAddedWithChanges);
     CPPUNIT_TEST(departureSeenAfterTheFirstAnswerIsNotHeld);
-    CPPUNIT_TEST(whatIsHeldIsNotTakenForALaterRevision);
-    CPPUNIT_TEST(holdIsNotMadeLongerByBeingTold);
-    CPPUNIT_TEST(changesAreNotToldAcrossAList);
-    CPPUNIT_TEST(removalOfTheUnknownIsToldOn);
+    CPPUNIT_TEST(heldEntryIsNotPartOfALaterRevision);
+    CPPUNIT_TEST(holdIsNotExtendedByForwarding);
+    CPPUNIT_TEST(changesAreNotSentAcrossAList);
+    CPPUNIT_TEST(removalOfTheUnknownIsForwarded);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -47,7 +47,7 @@
 
     static UpstreamChange removal(const std::string &id) { return {entry(id, 0), true}; }
 
-    /// Two upstreams, known since first contact at revision 10.
+    /// A directory that knows two upstreams since first contact at revision 10.
     static UpstreamDirectory known()
     {
         UpstreamDirectory made;
@@ -81,12 +81,13 @@
         CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
     }
 
-    /// Two directories that hear the same, one of them now and then by the other's changes alone.
+    /// One directory follows the registry, another one receives only the changes of the first now
+    /// and then. Both must have the same entries.
     void changesLeadToTheSameEntries()
     {
         CPPUNIT_ASSERT(rc::check("any changes", [](const std::vector<unsigned char> &steps) {
-            UpstreamDirectory teller = known();
-            UpstreamDirectory hearer = known();
+            UpstreamDirectory sender = known();
+            UpstreamDirectory receiver = known();
             std::uint64_t revision = 10;
             for (const unsigned char step : steps) {
                 const std::string id(1, static_cast<char>('a' + step % 5));
@@ -94,28 +95,29 @@
                 const UpstreamChange change = step % 3 == 0
                     ? removal(id)
                     : UpstreamChange{entry(id, revision, step % 3 == 1), false};
-                teller.applyChanges({change}, revision, start);
+                sender.applyChanges({change}, revision, start);
                 if (step < 128)
                     continue;
-                const auto changes = teller.changesSince(hearer.revision());
+                const auto changes = sender.changesSince(receiver.revision());
                 RC_ASSERT(changes.has_value());
-                hearer.applyChanges(*changes, teller.revision(), start);
+                receiver.applyChanges(*changes, sender.revision(), start);
             }
-            hearer.applyChanges(*teller.changesSince(hearer.revision()), teller.revision(), start);
-            RC_ASSERT(hearer.entries().size() == teller.entries().size());
-            for (const auto &[id, entry] : teller.entries()) {
-                const UpstreamEntry *heard = hearer.find(id);
-                RC_ASSERT(heard != nullptr);
-                RC_ASSERT(heard->leaving == entry.leaving && heard->revision == entry.revision);
+            receiver.applyChanges(*sender.changesSince(receiver.revision()), sender.revision(),
+                                  start);
+            RC_ASSERT(receiver.entries().size() == sender.entries().size());
+            for (const auto &[id, entry] : sender.entries()) {
+                const UpstreamEntry *received = receiver.find(id);
+                RC_ASSERT(received != nullptr);
+                RC_ASSERT(received->leaving == entry.leaving
+                          && received->revision == entry.revision);
             }
         }));
     }
 
-    void changesThatAreForgottenAreNotTold()
+    void changesThatAreForgottenAreNotSent()
     {
         UpstreamDirectory directory = known();
-        CPPUNIT_ASSERT(
-            !directory.changesSince(9)); // the list at 10 says nothing of what was before
+        CPPUNIT_ASSERT(!directory.changesSince(9)); // the list at 10 does not show earlier changes
         CPPUNIT_ASSERT(directory.changesSince(10)->empty());
         for (std::uint64_t n = 0; n <= UpstreamDirectory::maxLoggedChanges; ++n)
             directory.applyChanges({{entry("a", 11 + n), false}}, 11 + n, start);
@@ -140,7 +142,7 @@
         CPPUNIT_ASSERT(directory.find(UpstreamId("a"))->leaving);
     }
 
-    void entriesThatLapsedWithTheRegistryAreKept()
+    void entriesThatLapsedInAnOutageAreKept()
     {
         UpstreamDirectory directory = known();
         directory.lostContact();
@@ -152,7 +154,7 @@
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) != nullptr);
     }
 
-    void entriesStillMissingAfterTheGraceAreGone()
+    void entriesStillMissingAfterTheGraceAreRemoved()
     {
         UpstreamDirectory directory = known();
         directory.lostContact();
@@ -168,7 +170,7 @@
         CPPUNIT_ASSERT(directory.entries().empty());
     }
 
-    void leavingEntriesAreNotHeldBack()
+    void leavingEntriesAreNotHeld()
     {
         UpstreamDirectory directory = known();
         directory.applyChanges({{entry("a", 11, true), false}}, 11, start);
@@ -178,7 +180,7 @@
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
     }
 
-    void firstContactHoldsNothingBack()
+    void firstContactHoldsNothing()
     {
         UpstreamDirectory directory = known();
         directory.applyChanges({removal("a")}, 11, start + milliseconds(1));
@@ -195,68 +197,68 @@
         return made;
     }
 
-    /// Gateways that list an unchanged registry at different revisions have nothing to tell.
+    /// Gateways that list an unchanged registry at different revisions send each other no entries.
     void sameRegistryAtAnotherRevisionIsNotSent()
     {
-        UpstreamDirectory teller;
-        teller.regainedContact(start);
-        teller.replaceAll({entry("a", 5), entry("b", 6)}, 30, start);
-        UpstreamDirectory hearer;
-        hearer.replaceAll({entry("a", 5), entry("b", 6)}, 20, start);
-        const RegistryUpdate same = teller.updateSince(20, start, hearer.digest());
+        UpstreamDirectory sender;
+        sender.regainedContact(start);
+        sender.replaceAll({entry("a", 5), entry("b", 6)}, 30, start);
+        UpstreamDirectory receiver;
+        receiver.replaceAll({entry("a", 5), entry("b", 6)}, 20, start);
+        const RegistryUpdate same = sender.updateSince(20, start, receiver.digest());
         CPPUNIT_ASSERT(!same.snapshot && same.changes.empty());
-        hearer.applyUpdate(same, start);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{30}, hearer.revision());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hearer.entries().size());
+        receiver.applyUpdate(same, start);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{30}, receiver.revision());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, receiver.entries().size());
         UpstreamDirectory other;
         other.replaceAll({entry("a", 5), entry("b", 7)}, 20, start);
-        CPPUNIT_ASSERT(teller.updateSince(20, start, other.digest()).snapshot.has_value());
+        CPPUNIT_ASSERT(sender.updateSince(20, start, other.digest()).snapshot.has_value());
         UpstreamDirectory fewer;
         fewer.replaceAll({entry("a", 5)}, 20, start);
-        CPPUNIT_ASSERT(teller.updateSince(20, start, fewer.digest()).snapshot.has_value());
-        // One that knows nothing lacks the registry, also where that has no entries.
+        CPPUNIT_ASSERT(sender.updateSince(20, start, fewer.digest()).snapshot.has_value());
+        // A directory that knows nothing receives the whole list, even if that has no entries.
         UpstreamDirectory empty;
         empty.replaceAll({}, 30, start);
         CPPUNIT_ASSERT(
             empty.updateSince(0, start, UpstreamDirectory().digest()).snapshot.has_value());
     }
 
-    void heldEntriesAreToldApart()
+    void heldEntriesAreSentSeparately()
     {
         const Time regained = start + seconds(9);
-        const UpstreamDirectory teller = holding(regained);
+        const UpstreamDirectory sender = holding(regained);
         const Time later = regained + milliseconds(500);
         for (const std::uint64_t revision : {std::uint64_t{10}, std::uint64_t{3}}) {
-            const RegistryUpdate news = teller.updateSince(revision, later);
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.held.size());
-            CPPUNIT_ASSERT_EQUAL(std::int32_t{1500}, news.held.front().leftMs);
-            UpstreamDirectory hearer = revision == 3 ? UpstreamDirectory() : known();
-            hearer.applyUpdate(news, later);
-            CPPUNIT_ASSERT(hearer.find(UpstreamId("a")) != nullptr);
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.registered().size());
-            CPPUNIT_ASSERT(hearer.expire(later + milliseconds(1499)).withdrawn.empty());
-            hearer.expire(later + milliseconds(1500));
-            CPPUNIT_ASSERT(hearer.find(UpstreamId("a")) == nullptr);
-            CPPUNIT_ASSERT(hearer.find(UpstreamId("b")) != nullptr);
+            const RegistryUpdate update = sender.updateSince(revision, later);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.held.size());
+            CPPUNIT_ASSERT_EQUAL(std::int32_t{1500}, update.held.front().leftMs);
+            UpstreamDirectory receiver = revision == 3 ? UpstreamDirectory() : known();
+            receiver.applyUpdate(update, later);
+            CPPUNIT_ASSERT(receiver.find(UpstreamId("a")) != nullptr);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, receiver.registered().size());
+            CPPUNIT_ASSERT(receiver.expire(later + milliseconds(1499)).withdrawn.empty());
+            receiver.expire(later + milliseconds(1500));
+            CPPUNIT_ASSERT(receiver.find(UpstreamId("a")) == nullptr);
+            CPPUNIT_ASSERT(receiver.find(UpstreamId("b")) != nullptr);
         }
     }
 
-    /// With changes, a directory goes on using only what it used itself: an entry that another one
-    /// holds and that is unknown here, or is leaving here, is not taken up.
-    void heldEntryOfAnotherIsNotTakenWithChanges()
+    /// With changes, a directory continues to use only its own entries: an entry that another one
+    /// holds and that is unknown or leaving here is not added.
+    void heldEntryOfAnotherIsNotAddedWithChanges()
     {
         const Time regained = start + seconds(9);
-        const RegistryUpdate news = holding(regained).updateSince(10, regained);
+        const RegistryUpdate update = holding(regained).updateSince(10, regained);
         UpstreamDirectory without;
         without.regainedContact(start);
         without.replaceAll({entry("b", 6)}, 10, start);
-        without.applyUpdate(news, regained);
+        without.applyUpdate(update, regained);
         CPPUNIT_ASSERT(without.find(UpstreamId("a")) == nullptr);
         CPPUNIT_ASSERT(without.missing().empty());
-        UpstreamDirectory leaves = known();
-        leaves.applyChanges({{entry("a", 11, true), false}}, 11, start);
-        leaves.applyUpdate(news, regained);
-        CPPUNIT_ASSERT(leaves.find(UpstreamId("a")) == nullptr);
+        UpstreamDirectory withLeaving = known();
+        withLeaving.applyChanges({{entry("a", 11, true), false}}, 11, start);
+        withLeaving.applyUpdate(update, regained);
+        CPPUNIT_ASSERT(withLeaving.find(UpstreamId("a")) == nullptr);
     }
 
     void departureSeenAfterTheFirstAnswerIsNotHeld()
@@ -264,60 +266,62 @@
         UpstreamDirectory directory = known();
         directory.lostContact();
         directory.regainedContact(start + seconds(9));
-        directory.applyChanges({}, 12, start + seconds(9)); // nothing was missed
+        directory.applyChanges({}, 12, start + seconds(9)); // nothing changed in the outage
         const auto changed = directory.applyChanges({removal("a")}, 13, start + milliseconds(9400));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changed.withdrawn.size());
         CPPUNIT_ASSERT(directory.find(UpstreamId("a")) == nullptr);
     }
 
-    /// An upstream leaves at 39, while one gateway still holds it after an outage of its own and
-    /// another one hears of 40 from that one alone.
-    void whatIsHeldIsNotTakenForALaterRevision()
+    /// An upstream departs at revision 39. One gateway still holds it after its own outage and
+    /// sends revision 40 to another gateway, which must not use the upstream past the grace time.
+    void heldEntryIsNotPartOfALaterRevision()
     {
         const Time regained = start + seconds(9);
-        UpstreamDirectory teller = known();
-        UpstreamDirectory hearer = known();
-        teller.lostContact();
-        teller.regainedContact(regained);
-        teller.applyChanges({removal("a")}, 39, regained);
-        teller.applyChanges({{entry("c", 40), false}}, 40, regained + milliseconds(100));
-        hearer.applyUpdate(teller.updateSince(10, regained + milliseconds(200)),
-                           regained + milliseconds(200));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, hearer.revision());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hearer.registered().size());
-        hearer.expire(regained + UpstreamDirectory::reregistrationGrace);
-        CPPUNIT_ASSERT(hearer.find(UpstreamId("a")) == nullptr);
+        UpstreamDirectory sender = known();
+        UpstreamDirectory receiver = known();
+        sender.lostContact();
+        sender.regainedContact(regained);
+        sender.applyChanges({removal("a")}, 39, regained);
+        sender.applyChanges({{entry("c", 40), false}}, 40, regained + milliseconds(100));
+        receiver.applyUpdate(sender.updateSince(10, regained + milliseconds(200)),
+                             regained + milliseconds(200));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, receiver.revision());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, receiver.registered().size());
+        receiver.expire(regained + UpstreamDirectory::reregistrationGrace);
+        CPPUNIT_ASSERT(receiver.find(UpstreamId("a")) == nullptr);
     }
 
-    void holdIsNotMadeLongerByBeingTold()
+    void holdIsNotExtendedByForwarding()
     {
         const Time regained = start + seconds(9);
-        UpstreamDirectory teller = holding(regained);
+        UpstreamDirectory sender = holding(regained);
         Time now = regained;
         for (int hop = 0; hop < 10; ++hop) {
             now += milliseconds(150);
-            UpstreamDirectory hearer = known();
-            hearer.applyUpdate(teller.updateSince(10, now), now);
-            teller = std::move(hearer);
+            UpstreamDirectory receiver = known();
+            receiver.applyUpdate(sender.updateSince(10, now), now);
+            sender = std::move(receiver);
         }
-        teller.expire(regained + UpstreamDirectory::reregistrationGrace);
-        CPPUNIT_ASSERT(teller.find(UpstreamId("a")) == nullptr);
+        sender.expire(regained + UpstreamDirectory::reregistrationGrace);
+        CPPUNIT_ASSERT(sender.find(UpstreamId("a")) == nullptr);
     }
 
-    /// An entry comes and goes between two lists of one gateway; another one knows it.
-    void changesAreNotToldAcrossAList()
+    /// An entry is added and removed between two lists of one gateway, but known to another one,
+    /// which would keep it if it received only changes.
+    void changesAreNotSentAcrossAList()
     {
-        UpstreamDirectory teller = known();
-        UpstreamDirectory hearer = known();
-        hearer.applyChanges({{entry("c", 11), false}}, 11, start);
-        teller.replaceAll({entry("a", 5), entry("b", 6)}, 12, start);
-        hearer.applyUpdate(teller.updateSince(11, start), start);
-        CPPUNIT_ASSERT(hearer.find(UpstreamId("c")) == nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hearer.entries().size());
+        UpstreamDirectory sender = known();
+        UpstreamDirectory receiver = known();
+        receiver.applyChanges({{entry("c", 11), false}}, 11, start);
+        sender.replaceAll({entry("a", 5), entry("b", 6)}, 12, start);
+        receiver.applyUpdate(sender.updateSince(11, start), start);
+        CPPUNIT_ASSERT(receiver.find(UpstreamId("c")) == nullptr);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, receiver.entries().size());
     }
 
-    /// An entry comes and goes between two changes that one gateway is told; another one knows it.
-    void removalOfTheUnknownIsToldOn()
+    /// An entry is added and removed between two updates to one gateway, but known to another one:
+    /// the first must forward the removal of an entry that it never knew.
+    void removalOfTheUnknownIsForwarded()
     {
         UpstreamDirectory first = known();
         UpstreamDirectory second = known();
