--- a/src/include/reachlead/rosterpublisher.h
+++ b/src/include/reachlead/rosterpublisher.h
@@ -34,7 +34,7 @@
     /// A watcher delays a write by this for each watcher before it, and by the same once more to
     /// collect changes that come together.
     static constexpr Duration delayPerPosition = seconds(1);
-    /// Collects gateways that start one after the other into one write.
+    /// Minimum interval between writes: gateways that start one after the other share a write.
     static constexpr Duration minWriteInterval = seconds(3);
     /// Time without heartbeats after which a gateway is removed: longer than most restarts and
     /// network partitions.
--- a/src/include/reachlead/routing.h
+++ b/src/include/reachlead/routing.h
@@ -73,7 +73,7 @@
     std::uint64_t engineCacheTokens = 0; ///< capacity of an engine's cache in tokens
     std::uint64_t engineTokenBytes = 0; ///< size of a cached token; 0: caches cannot be copied
     double engineLinkMbps = 0; ///< bandwidth between engines; 0: caches cannot be copied
-    double coldCallsPerSecond = 0; ///< calls to a cold upstream, of all callers; 0: unlimited
+    double coldCallsPerSecond = 0; ///< calls/s to a cold upstream, of all callers; 0: unlimited
 
     /// True when an engine can fetch cached parts from another.
     bool canFetch() const { return engineTokenBytes > 0 && engineLinkMbps > 0; }
--- a/src/include/reachlead/subset.h
+++ b/src/include/reachlead/subset.h
@@ -23,8 +23,8 @@
 
 /// The agents that \p router in \p zone holds sessions to. Both sizes are filled in the order of
 /// rendezvous hashing (Thaler and Ravishankar, 1998), so that adding or removing a VM moves its own
-/// sessions and few others. An agent listed without a target is always picked, as the router could
-/// not tell which target loses an agent without it.
+/// sessions and few others. An agent listed without a target is always picked, since the router
+/// cannot tell which target it would take the agent from otherwise.
 std::set<VmName> pickAgents(const std::vector<Member> &members, const VmName &router,
                             const ZoneName &zone, const SubsetSizes &sizes = {});
 
--- a/src/include/reachlead/upstreamdirectory.h
+++ b/src/include/reachlead/upstreamdirectory.h
@@ -188,7 +188,7 @@
     const UpstreamEntry *findByHash(UpstreamHash hash) const;
 
     /// Capacity of the change log, with about 100 bytes for each change: the largest fleet has some
-    /// thousand changes a day.
+    /// thousands of changes a day.
     static constexpr std::size_t maxLoggedChanges = 2000;
 
     /// Incremented by each change of the entries or of their use.
--- a/src/libreachlead/placementgroups_test.cpp
+++ b/src/libreachlead/placementgroups_test.cpp
@@ -14,7 +14,7 @@
 
 namespace reachlead {
 
-/// Which gateway places which calls, and which one is queried if that one does not reply.
+/// Which gateway places which calls, and which one is queried if that gateway does not reply.
 class PlacementGroupsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlacementGroupsTest);
--- a/src/libreachlead/upstreamdirectory.cpp
+++ b/src/libreachlead/upstreamdirectory.cpp
@@ -355,7 +355,7 @@
     }
     const UpstreamId knownId = known->id;
     if (m_missing.contains(knownId))
-        return; // it is held since its removal
+        return; // already held after an earlier removal
     log(knownId);
     if (const auto until = heldUntil(*known, now, held)) {
         m_missing.emplace(knownId, *until);
