--- a/src/include/reachlead/pendingqueries.h
+++ b/src/include/reachlead/pendingqueries.h
@@ -43,7 +43,7 @@
     /// No reply arrived in time, or the scheduler declined.
     void queryFailed(QueryId id, Time now);
 
-    /// The id of the oldest pending query, or the next id to be assigned: all before are concluded.
+    /// The id of the oldest pending query, or the next id to be assigned if none is pending.
     QueryId oldestPendingQuery() const;
 
     std::size_t pendingCount() const { return m_pending.size(); }
--- a/src/include/reachlead/unresponsivegateways.h
+++ b/src/include/reachlead/unresponsivegateways.h
@@ -19,7 +19,7 @@
 {
 public:
     /// How long a gateway is not queried after its first missing reply; doubles with each further
-    /// one. A killed process is restarted within seconds.
+    /// one up to maxBackoff. A killed process is restarted within seconds.
     static constexpr Duration initialBackoff = seconds(1);
     static constexpr Duration maxBackoff = seconds(8);
 
--- a/src/libreachlead/gatewaystate.cpp
+++ b/src/libreachlead/gatewaystate.cpp
@@ -138,10 +138,10 @@
 {
     if (m_currentAt && at <= *m_currentAt)
         return;
-    const Duration half = m_options.watcherElection.staleLimit / 2;
-    const bool wasOld = m_currentAt && *m_currentAt + half < now();
+    const Duration halfLimit = m_options.watcherElection.staleLimit / 2;
+    const bool wasOld = m_currentAt && *m_currentAt + halfLimit < now();
     m_currentAt = at;
-    if (wasOld && at + half > now() && m_onChange)
+    if (wasOld && at + halfLimit > now() && m_onChange)
         m_onChange();
 }
 
--- a/src/libreachlead/rosterpublisher.cpp
+++ b/src/libreachlead/rosterpublisher.cpp
@@ -15,23 +15,23 @@
     std::erase_if(m_unresponsiveSince, [&](const auto &it) {
         return live.contains(it.first) || !known.contains(it.first);
     });
-    Roster made = live;
+    Roster roster = live;
     for (const auto &[vm, entry] : known) {
         if (live.contains(vm))
             continue;
         const Time since = m_unresponsiveSince.try_emplace(vm, now).first->second;
         if (now < since + removeAfter)
-            made.emplace(vm, entry);
+            roster.emplace(vm, entry);
     }
-    return made;
+    return roster;
 }
 
 std::optional<Roster> RosterPublisher::rosterToWrite(const Roster &known, const Roster &live,
                                                      std::size_t position, Time now)
 {
     m_checkedAt = now;
-    Roster made = makeRoster(known, live, now);
-    if (made == known) {
+    Roster roster = makeRoster(known, live, now);
+    if (roster == known) {
         m_differsSince.reset();
         return std::nullopt;
     }
@@ -43,7 +43,7 @@
     if (now < *m_differsSince + wait || isTooSoon)
         return std::nullopt;
     m_wroteAt = now;
-    return made;
+    return roster;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/subset.cpp
+++ b/src/libreachlead/subset.cpp
@@ -64,16 +64,16 @@
         else
             byTarget[member.target].push_back({&member, hashName(member.vm)});
     }
-    const HashedMember own{&self, hashName(router)};
+    const HashedMember hashedSelf{&self, hashName(router)};
     std::set<VmName> picked;
     for (auto &[target, agents] : byTarget) {
         std::ranges::sort(agents, std::greater(), [&](const HashedMember &agent) {
             return std::tuple(!agent.member->leaving, agent.member->zone == zone,
-                              rendezvousScore(own.hash, agent.hash));
+                              rendezvousScore(hashedSelf.hash, agent.hash));
         });
         for (std::size_t n = 0; n < agents.size(); ++n) {
             const bool isPicked = target.empty() || n < sizes.agentsPerTarget
-                || isAmongFirst(routers, own, agents[n], sizes.routersPerAgent);
+                || isAmongFirst(routers, hashedSelf, agents[n], sizes.routersPerAgent);
             if (isPicked)
                 picked.insert(agents[n].member->vm);
         }
--- a/src/libreachlead/watcherelection.cpp
+++ b/src/libreachlead/watcherelection.cpp
@@ -22,9 +22,9 @@
 
 std::size_t rendezvousPosition(const VmName &self, const std::set<VmName> &others)
 {
-    const std::uint64_t own = hashName(self);
+    const std::uint64_t ownHash = hashName(self);
     return static_cast<std::size_t>(
-        std::ranges::count_if(others, [&](const VmName &vm) { return hashName(vm) < own; }));
+        std::ranges::count_if(others, [&](const VmName &vm) { return hashName(vm) < ownHash; }));
 }
 
 std::vector<VmName> rendezvousPeers(const VmName &self, const std::set<VmName> &others,
