--- a/src/include/reachlead/callrate.h
+++ b/src/include/reachlead/callrate.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A rate of calls as an exact number.
+/// A call rate as an exact number.
 
 #pragma once
 
@@ -15,27 +15,27 @@
 
 namespace reachlead {
 
-/// Calls a second, in thousandths: a whole number, so that it is the same at all gateways that pass
-/// it on.
+/// Calls per second in thousandths. An integer, so that the value is identical on every gateway
+/// that forwards it.
 struct CallRate
 {
-    std::uint32_t milli = 0;
+    std::uint32_t milliPerSecond = 0;
 
-    /// The nearest rate; none for a negative number and for what is no number. The largest rate
-    /// stands for all that are larger.
+    /// Rounds to the nearest rate and saturates at the largest one. Returns nullopt for a negative,
+    /// infinite or NaN value.
     static std::optional<CallRate> fromPerSecond(double value)
     {
         if (!std::isfinite(value) || value < 0)
             return std::nullopt;
-        constexpr double most = std::numeric_limits<std::uint32_t>::max() - 1;
-        return CallRate{static_cast<std::uint32_t>(std::min(most, std::round(value * 1000.0)))};
+        constexpr double maxMilli = std::numeric_limits<std::uint32_t>::max() - 1;
+        return CallRate{static_cast<std::uint32_t>(std::min(maxMilli, std::round(value * 1000.0)))};
     }
 
-    double perSecond() const { return milli / 1000.0; }
+    double perSecond() const { return milliPerSecond / 1000.0; }
 
     auto operator<=>(const CallRate &) const = default;
 
-    template <class Archive> void serialize(Archive &ar) { ar(milli); }
+    template <class Archive> void serialize(Archive &ar) { ar(milliPerSecond); }
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/upstreambackoffs.h
+++ b/src/include/reachlead/upstreambackoffs.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Upstreams that this gateway is not to call for a while.
+/// Upstreams that this gateway must not call for a while.
 
 #pragma once
 
@@ -14,19 +14,20 @@
 
 namespace reachlead {
 
-/// The backoffs that upstreams asked this gateway for. Not thread-safe, reads no clock.
+/// The backoffs that upstreams requested from this gateway. Not thread-safe, reads no clock.
 ///
-/// The load pattern it answers: an upstream that turns calls away at once has nothing under way, so
-/// it looks the least loaded, and the more it refuses the more it gets. A backoff is between one
-/// upstream's life and one gateway: others may still have its leave.
+/// Load pattern: an upstream that refuses calls at once has none running, so it looks the least
+/// loaded, and the more it refuses the more calls it gets. A backoff applies between one
+/// incarnation of an upstream and one gateway; other gateways may still call it.
 class UpstreamBackoffs
 {
 public:
-    /// A longer one would take an upstream out of use for good by a slip of its settings.
+    /// Upper bound: a longer backoff from a misconfigured upstream would take it out of use
+    /// permanently.
     static constexpr Duration maxBackoff = std::chrono::hours(1);
 
-    /// The upstream turned a call away and wants none for \p retryAfter. It never shortens a
-    /// backoff: the answers of calls that were under way together come in any order.
+    /// Records that the upstream refused a call and requested a backoff of \p retryAfter. Never
+    /// shortens a backoff, because the answers of concurrent calls arrive in any order.
     void add(const UpstreamId &id, Duration retryAfter, Time now)
     {
         Time &until = m_until[id];
@@ -39,10 +40,10 @@
         return it != m_until.end() && now < it->second;
     }
 
-    /// No upstream is backed off.
+    /// True if no upstream is backed off.
     bool isEmpty() const { return m_until.empty(); }
 
-    /// Drops the backoffs that are over.
+    /// Removes expired backoffs.
     void dropExpired(Time now)
     {
         std::erase_if(m_until, [&](const auto &it) { return it.second <= now; });
--- a/src/include/reachlead/upstreamlimits.h
+++ b/src/include/reachlead/upstreamlimits.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The rate limits that upstreams name in their answers.
+/// Rate limits that upstreams announce in their answers.
 
 #pragma once
 
@@ -18,66 +18,67 @@
 
 namespace reachlead {
 
-/// What an answer of an upstream said of its limit.
+/// The limit that an upstream announced in an answer.
 struct LimitUpdate
 {
     UpstreamId upstream;
-    std::optional<CallRate> limit; ///< none: it is over
-    UnixMillis timestamp = 0; ///< when the answer came, by the fleet's time of day
+    std::optional<CallRate> limit; ///< nullopt: no longer limited
+    UnixMillis timestamp = 0; ///< fleet time at which the answer arrived
 };
 
-/// The limits of all upstreams that named one lately. Not thread-safe, reads no clock.
+/// The limits that upstreams announced recently. Not thread-safe, reads no clock.
 ///
-/// A limit holds for the life of an upstream that named it, for all gateways together, until an
-/// answer comes without it. Gateways pass on what they heard, so that those that place calls know
-/// it, and those that start. The highest stamp decides. A note keeps its stamp on its way over any
-/// number of gateways: were its age told instead, each of them would make it a little younger or
-/// older, and among a thousand the youngest copies would keep a limit alive that is over.
+/// A limit applies to one incarnation of an upstream and to all gateways together, until an answer
+/// arrives without it. Gateways forward what they receive, so that the gateways that place calls
+/// know it, and so do those that start. The highest timestamp wins. An update keeps its timestamp
+/// over any number of hops. If its age were sent instead, each hop would change the age slightly,
+/// and among a thousand gateways the youngest copies would keep an expired limit alive.
 class UpstreamLimits
 {
 public:
-    /// A limit of which nothing newer is heard for this long is over, so that a gateway that missed
-    /// its end does not keep it for good.
+    /// A limit without newer information for this long has expired, so that a gateway that missed
+    /// its end does not keep it permanently.
     static constexpr Duration forgetAfter = seconds(60);
-    /// What is new is passed on for this long: less than forgetAfter, so that an end is still known
-    /// where a late word of the limit arrives.
-    static constexpr Duration tellSpan = seconds(30);
-    /// Answers renew the end of a limit for this long: by then its stamp is above that of the limit
-    /// also where a gateway's time of day is ahead.
-    static constexpr Duration endSpan = seconds(5);
-
-    /// An answer of the upstream named \p limit, or none; \p stamp as in LimitUpdate. True when
-    /// that is a change.
+    /// Updates are forwarded for this long. Less than forgetAfter, so that the end of a limit is
+    /// still known where a late update of the limit arrives.
+    static constexpr Duration reportWindow = seconds(30);
+    /// Answers renew the end of a limit for this long. By then its timestamp exceeds that of the
+    /// limit, even if the clock of another gateway is ahead.
+    static constexpr Duration endRenewalWindow = seconds(5);
+
+    /// Records the limit in an answer of the upstream, or its absence; \p timestamp as in
+    /// LimitUpdate. Returns true if the limit changed.
     bool recordAnswer(const UpstreamId &id, std::optional<CallRate> limit, Time now,
-                      UnixMillis stamp);
+                      UnixMillis timestamp);
 
-    /// Another gateway heard this. True when the limit in force changed by it.
-    bool applyUpdate(const LimitUpdate &note, Time now);
+    /// Applies an update from another gateway. Returns true if the limit in force changed.
+    bool applyUpdate(const LimitUpdate &update, Time now);
 
     /// The limit in force.
     std::optional<CallRate> currentLimit(const UpstreamId &id, Time now) const;
 
-    /// What is to be passed on, ends of limits included.
+    /// Updates to forward, ends of limits included.
     std::vector<LimitUpdate> recent(Time now) const;
 
-    /// No limit was heard lately.
-    bool isEmpty() const { return m_heard.empty(); }
+    /// True if no limit is recorded.
+    bool isEmpty() const { return m_entries.empty(); }
 
-    /// Drops what was not heard for forgetAfter.
+    /// Removes entries that were not renewed for forgetAfter.
     void dropExpired(Time now);
 
 private:
-    struct Heard
+    struct Entry
     {
-        std::optional<CallRate> limit; ///< none: it is over
-        UnixMillis stamp = 0;
-        Time at{}; ///< when this stamp was heard or told
-        Time changedAt{}; ///< the same of the first stamp with this limit, or this end
+        std::optional<CallRate> limit; ///< nullopt: no longer limited
+        UnixMillis timestamp = 0;
+        Time receivedAt{}; ///< when this timestamp was received
+        /// when the first timestamp with this limit, or with its end, was received
+        Time changedAt{};
     };
 
-    void take(Heard *known, std::optional<CallRate> limit, Time now, UnixMillis stamp);
+    void assign(Entry *entry, std::optional<CallRate> limit, Time now, UnixMillis timestamp);
 
-    std::unordered_map<UpstreamId, Heard> m_heard;
+    std::unordered_map<UpstreamId, Entry> m_entries;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/upstreamratelimiter.h
+++ b/src/include/reachlead/upstreamratelimiter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How one gateway keeps to its part of a rate that all gateways share.
+/// Keeps one gateway within its share of a rate limit of the whole fleet.
 
 #pragma once
 
@@ -15,36 +15,36 @@
 
 /// Spaces the calls that one gateway sends to one upstream. Not thread-safe, reads no clock.
 ///
-/// The load pattern it answers: a rate that holds for all gateways together, also where each of a
-/// thousand has a call in a thousand. A part that was not used is lost: were it kept, all gateways
-/// could use theirs at once.
+/// Load pattern: a rate limit applies to all gateways together, also where each of a thousand
+/// gateways may send only one call in a thousand. An unused share expires: if it were kept, all
+/// gateways could use theirs at the same time.
 class UpstreamRateLimiter
 {
 public:
-    /// How long a call may be sent after its moment has come. The longer, the more gateways may
-    /// send at once; the shorter, the fewer find a call to send.
+    /// How long a slot stays open. Longer slots let more gateways send at the same time; in shorter
+    /// ones fewer gateways have a call to send.
     static constexpr Duration slotLength = milliseconds(250);
 
-    /// For the one gateway that has most of the rate: calls at least \p spacing apart.
+    /// For a single gateway with most of the rate: calls at least \p spacing apart.
     bool allowsNext(Duration spacing, Time now) const
     {
-        return !m_last || *m_last + spacing <= now;
+        return !m_lastCall || *m_lastCall + spacing <= now;
     }
 
-    /// For one of many gateways: one call in the slot that begins each \p spacing, \p phase behind
-    /// the others' slots.
+    /// For one of many gateways: one call per slot; a slot opens every \p spacing, shifted by \p
+    /// phase against those of the other gateways.
     bool allowsInSlot(Duration spacing, Duration phase, Time now) const
     {
-        const Duration into = (now.time_since_epoch() + spacing - phase) % spacing;
-        const Time begin = now - into;
-        return into < std::min(spacing, slotLength) && (!m_last || *m_last < begin);
+        const Duration sinceSlotStart = (now.time_since_epoch() + spacing - phase) % spacing;
+        const Time slotStart = now - sinceSlotStart;
+        return sinceSlotStart < std::min(spacing, slotLength)
+            && (!m_lastCall || *m_lastCall < slotStart);
     }
 
-    /// A call was sent.
-    void sent(Time now) { m_last = now; }
+    void sent(Time now) { m_lastCall = now; }
 
 private:
-    std::optional<Time> m_last;
+    std::optional<Time> m_lastCall;
 };
 
 } // namespace reachlead
--- a/src/libreachlead/upstreamlimits.cpp
+++ b/src/libreachlead/upstreamlimits.cpp
@@ -7,63 +7,65 @@
 
 namespace reachlead {
 
-void UpstreamLimits::take(Heard *known, std::optional<CallRate> limit, Time now, UnixMillis stamp)
+void UpstreamLimits::assign(Entry *entry, std::optional<CallRate> limit, Time now,
+                            UnixMillis timestamp)
 {
-    if (limit != known->limit)
-        known->changedAt = now;
-    known->limit = limit;
-    known->stamp = stamp;
-    known->at = now;
+    if (limit != entry->limit)
+        entry->changedAt = now;
+    entry->limit = limit;
+    entry->timestamp = timestamp;
+    entry->receivedAt = now;
 }
 
 bool UpstreamLimits::recordAnswer(const UpstreamId &id, std::optional<CallRate> limit, Time now,
-                                  UnixMillis stamp)
+                                  UnixMillis timestamp)
 {
     const std::optional<CallRate> before = currentLimit(id, now);
-    const auto it = m_heard.find(id);
-    if (it == m_heard.end()) {
+    const auto it = m_entries.find(id);
+    if (it == m_entries.end()) {
         if (limit)
-            m_heard.emplace(id, Heard{limit, stamp, now, now});
+            m_entries.emplace(id, Entry{limit, timestamp, now, now});
         return limit.has_value();
     }
-    Heard &known = it->second;
-    const bool isOldEnd = !limit && !known.limit && known.changedAt + endSpan <= now;
-    if (!isOldEnd)
-        take(&known, limit, now, std::max(stamp, known.stamp + 1));
+    Entry &entry = it->second;
+    const bool isSettledEnd = !limit && !entry.limit && entry.changedAt + endRenewalWindow <= now;
+    if (!isSettledEnd)
+        assign(&entry, limit, now, std::max(timestamp, entry.timestamp + 1));
     return limit != before;
 }
 
-bool UpstreamLimits::applyUpdate(const LimitUpdate &note, Time now)
+bool UpstreamLimits::applyUpdate(const LimitUpdate &update, Time now)
 {
-    const std::optional<CallRate> before = currentLimit(note.upstream, now);
+    const std::optional<CallRate> before = currentLimit(update.upstream, now);
     const auto [it, isNew] =
-        m_heard.try_emplace(note.upstream, Heard{note.limit, note.timestamp, now, now});
-    if (!isNew && note.timestamp > it->second.stamp)
-        take(&it->second, note.limit, now, note.timestamp);
-    return currentLimit(note.upstream, now) != before;
+        m_entries.try_emplace(update.upstream, Entry{update.limit, update.timestamp, now, now});
+    if (!isNew && update.timestamp > it->second.timestamp)
+        assign(&it->second, update.limit, now, update.timestamp);
+    return currentLimit(update.upstream, now) != before;
 }
 
 std::optional<CallRate> UpstreamLimits::currentLimit(const UpstreamId &id, Time now) const
 {
-    const auto it = m_heard.find(id);
-    if (it == m_heard.end() || it->second.at + forgetAfter <= now)
+    const auto it = m_entries.find(id);
+    if (it == m_entries.end() || it->second.receivedAt + forgetAfter <= now)
         return std::nullopt;
     return it->second.limit;
 }
 
 std::vector<LimitUpdate> UpstreamLimits::recent(Time now) const
 {
-    std::vector<LimitUpdate> notes;
-    for (const auto &[id, known] : m_heard) {
-        if (known.at + tellSpan > now)
-            notes.push_back({id, known.limit, known.stamp});
+    std::vector<LimitUpdate> updates;
+    for (const auto &[id, entry] : m_entries) {
+        if (entry.receivedAt + reportWindow > now)
+            updates.push_back({id, entry.limit, entry.timestamp});
     }
-    return notes;
+    return updates;
 }
 
 void UpstreamLimits::dropExpired(Time now)
 {
-    std::erase_if(m_heard, [&](const auto &it) { return it.second.at + forgetAfter <= now; });
+    std::erase_if(m_entries,
+                  [&](const auto &it) { return it.second.receivedAt + forgetAfter <= now; });
 }
 
 } // namespace reachlead
