--- a/src/include/reachlead/earlyrefusal.h
+++ b/src/include/reachlead/earlyrefusal.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which calls are refused before they begin, as their engines are too far behind.
+/// Refuses calls whose engines are too far behind, before they start.
 
 #pragma once
 
@@ -13,44 +13,45 @@
 
 namespace reachlead {
 
-/// What is asked of a call that is to be placed.
+/// Latency requirements of a call to be placed.
 struct LatencySlack
 {
-    Duration target{}; ///< to its first event; zero: none is promised
-    Duration timeLeft{}; ///< until its caller gives up
-    bool isMostUrgent = false; ///< no kind of call of its service goes before it
-    unsigned urgencyRank = 0; ///< of its kind; 0 is the most urgent
+    Duration target{}; ///< until its first event; zero: none
+    Duration timeLeft{}; ///< until its caller times out
+    bool isMostUrgent = false; ///< no class of its service is more urgent
+    unsigned urgencyRank = 0; ///< of its class; 0 is the most urgent
 };
 
-/// Decides whether a call has a use where it would be placed. Pure.
+/// Decides whether a call is still useful where it would be placed. Pure.
 ///
-/// Load pattern: more prompts arrive than the engines can read. Each engine reads what it has in
-/// turn, so all first events come later and later, until nearly all that is read is read for
-/// callers who have gone. Refused at once, some callers learn when to come back, and the others
-/// are served in time.
+/// Load pattern: prompts arrive faster than the engines can prefill them. Each engine prefills its
+/// queue in order, so all first events are delayed further and further, until nearly all prefill
+/// work is done for callers that have already timed out. With early refusal some callers learn at
+/// once when to retry, and the others are served in time.
 struct EarlyRefusal
 {
-    /// A less urgent call waits for its turn up to this many of its targets: the rest of the target
-    /// is for its own prompt and for the engine's steps. A late answer still has a use, but each
-    /// call that waits makes those behind it late as well, and an engine that reads without a pause
-    /// makes a token each 60 ms for the streams beside. Of 4,192 long calls of a day that begins
-    /// with empty caches 2,824 were answered in time, 2,600 with 0.25 targets. A
-    /// setting; 0 refuses none.
+    /// Longest queueing time of a less urgent call, in multiples of its target; the rest of the
+    /// target is left for its own prompt and the steps of the engine. A late answer is still
+    /// useful, but each waiting call also delays those behind it, and an engine that prefills
+    /// continuously emits a token only every 60 ms for its other streams. On a day that starts with
+    /// empty caches, 2,824 of 4,192 long calls were answered in time with 0.1, and 2,600 with 0.25.
+    /// Setting; 0 disables refusal.
     double waitTargets = 0.1;
 
-    /// The engines read the most urgent calls first, so most of the wait is not theirs: they bear
-    /// this many targets of it. Of 39 overloaded days played with 0.5 three refused more than a
-    /// twelfth of the urgent calls of some five seconds while less urgent ones began, of 39
-    /// with 1.0 none.
+    /// The same for the most urgent calls. Engines prefill these first, so most of the predicted
+    /// wait does not apply to them. With 0.5, three of 39 simulated overloaded days had periods of
+    /// about 5 s in which more than a twelfth of the urgent calls were refused while less urgent
+    /// ones started; with 1.0, none had.
     double urgentWaitTargets = 1.0;
 
-    /// Part of the caller's time that must be left for the answer itself.
-    double answerPart = 0.5;
+    /// Share of the caller's remaining time that is reserved for the answer itself.
+    double answerShare = 0.5;
 
-    /// When to come back, if the call is to be refused: once the work in front of it would let its
-    /// turn come in time. \p wait is the predicted time until an engine begins with it. Its own
-    /// prompt does not count, as a long one would be refused by an idle engine too.
-    std::optional<Duration> decide(const LatencySlack &patience, Duration wait) const;
+    /// Returns the time after which to retry if the call is to be refused: when the queue is short
+    /// enough for it to start in time. \p wait is the predicted time until an engine starts with
+    /// it. The call's own prompt does not count, since an idle engine would otherwise refuse a long
+    /// one too.
+    std::optional<Duration> decide(const LatencySlack &slack, Duration wait) const;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/refusalorder.h
+++ b/src/include/reachlead/refusalorder.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Keeps less urgent calls from being placed while more urgent ones are refused.
+/// Holds back less urgent calls while more urgent ones are refused.
 
 #pragma once
 
@@ -14,42 +14,43 @@
 
 namespace reachlead {
 
-/// Remembers which calls were refused as their engines are too far behind. Not thread-safe, reads
-/// no clock.
+/// Records which calls were refused because their engines are too far behind. Not thread-safe,
+/// reads no clock.
 ///
-/// Load pattern: the most urgent calls alone fill the engines' places, so each call is judged by
-/// the wait at its own moment, and a long less urgent one that comes a moment after an urgent one
-/// was refused takes the place that the urgent one lacked. On a copy of a deployment with
-/// engines 1.7 times as slow and longer prompts 87 of 280 urgent calls of five seconds were refused
-/// while 52 less urgent ones of twice their size began.
+/// Load pattern: the most urgent calls alone fill the slots of the engines. As each call is judged
+/// by the wait at its own arrival, a long, less urgent call that arrives just after a refused
+/// urgent one takes the slot that the urgent one needed. In a replica of a deployment with engines
+/// 1.7 times as slow and longer prompts, 87 of 280 urgent calls within five seconds were refused
+/// while 52 less urgent ones of twice their size started.
 class RefusalOrder
 {
 public:
-    /// A refusal keeps less urgent calls out for \p hold.
+    /// After a refusal, less urgent calls are held back for \p hold.
     explicit RefusalOrder(Duration hold = defaultHold) : m_hold(hold) { }
 
-    /// A call of this rank was refused; 0 is the most urgent.
-    void refused(const ServiceName &service, unsigned rank, Time now);
+    /// Records that a call was refused; urgency rank 0 is the most urgent.
+    void refused(const ServiceName &service, unsigned urgencyRank, Time now);
 
-    /// How long a call is to be refused because more urgent ones were; nothing: it may be placed.
-    std::optional<Duration> remainingHold(const ServiceName &service, unsigned rank,
+    /// How long a call must be refused because more urgent ones were; nullopt if it may be placed.
+    std::optional<Duration> remainingHold(const ServiceName &service, unsigned urgencyRank,
                                           Time now) const;
 
-    /// A call of this rank was placed.
-    void placed(const ServiceName &service, unsigned rank, Time now);
+    /// Records that a call was placed.
+    void placed(const ServiceName &service, unsigned urgencyRank, Time now);
 
-    /// A setting: long enough that a refused caller that comes back does not find its place taken,
-    /// and that the places that short calls leave meanwhile are not taken by long ones.
+    /// Setting. Long enough that a refused caller that retries does not find its slot taken, and
+    /// that slots freed by short calls meanwhile are not taken by long ones.
     static constexpr Duration defaultHold = milliseconds(1000);
 
-    /// A rank that is held back has one call placed after this long, so that none starves.
-    static constexpr Duration floorPause = seconds(5);
+    /// An urgency rank that is held back still has one call placed per interval, so that it does
+    /// not starve.
+    static constexpr Duration floorInterval = seconds(5);
 
 private:
     struct Service
     {
-        std::map<unsigned, Time> refusedAt; ///< by rank
-        std::map<unsigned, Time> placedAt; ///< by rank
+        std::map<unsigned, Time> refusedAt; ///< by urgency rank
+        std::map<unsigned, Time> placedAt; ///< by urgency rank
     };
 
     Duration m_hold;
--- a/src/libreachlead/earlyrefusal.cpp
+++ b/src/libreachlead/earlyrefusal.cpp
@@ -7,17 +7,17 @@
 
 namespace reachlead {
 
-std::optional<Duration> EarlyRefusal::decide(const LatencySlack &patience, Duration wait) const
+std::optional<Duration> EarlyRefusal::decide(const LatencySlack &slack, Duration wait) const
 {
-    if (waitTargets <= 0 || patience.target <= Duration{})
+    if (waitTargets <= 0 || slack.target <= Duration{})
         return std::nullopt;
-    const double promised = toSeconds(patience.target);
-    const double byTarget = promised * (patience.isMostUrgent ? urgentWaitTargets : waitTargets);
-    const double byPatience = toSeconds(patience.timeLeft) * (1.0 - answerPart);
-    const double bearable = std::min(byTarget, std::max(promised, byPatience));
-    if (toSeconds(wait) <= bearable)
+    const double target = toSeconds(slack.target);
+    const double maxByTarget = target * (slack.isMostUrgent ? urgentWaitTargets : waitTargets);
+    const double maxByTimeLeft = toSeconds(slack.timeLeft) * (1.0 - answerShare);
+    const double maxWait = std::min(maxByTarget, std::max(target, maxByTimeLeft));
+    if (toSeconds(wait) <= maxWait)
         return std::nullopt;
-    return wait - fromSeconds(bearable);
+    return wait - fromSeconds(maxWait);
 }
 
 } // namespace reachlead
--- a/src/libreachlead/refusalorder.cpp
+++ b/src/libreachlead/refusalorder.cpp
@@ -8,35 +8,36 @@
 
 namespace reachlead {
 
-void RefusalOrder::refused(const ServiceName &service, unsigned rank, Time now)
+void RefusalOrder::refused(const ServiceName &service, unsigned urgencyRank, Time now)
 {
-    m_services[service].refusedAt[rank] = now;
+    m_services[service].refusedAt[urgencyRank] = now;
 }
 
-void RefusalOrder::placed(const ServiceName &service, unsigned rank, Time now)
+void RefusalOrder::placed(const ServiceName &service, unsigned urgencyRank, Time now)
 {
-    m_services[service].placedAt[rank] = now;
+    m_services[service].placedAt[urgencyRank] = now;
 }
 
-std::optional<Duration> RefusalOrder::remainingHold(const ServiceName &service, unsigned rank,
-                                                    Time now) const
+std::optional<Duration> RefusalOrder::remainingHold(const ServiceName &service,
+                                                    unsigned urgencyRank, Time now) const
 {
     const auto it = m_services.find(service);
     if (it == m_services.end())
         return std::nullopt;
     const auto &refusedAt = it->second.refusedAt;
-    const auto more = std::ranges::subrange(refusedAt.begin(), refusedAt.lower_bound(rank));
-    if (more.empty())
+    const auto moreUrgent =
+        std::ranges::subrange(refusedAt.begin(), refusedAt.lower_bound(urgencyRank));
+    if (moreUrgent.empty())
         return std::nullopt;
-    const Time last = std::ranges::max(more | std::views::values);
-    if (last + m_hold <= now)
+    const Time lastRefused = std::ranges::max(moreUrgent | std::views::values);
+    if (lastRefused + m_hold <= now)
         return std::nullopt;
-    const auto placed = it->second.placedAt.find(rank);
+    const auto placed = it->second.placedAt.find(urgencyRank);
     const bool isStarved =
-        placed == it->second.placedAt.end() || placed->second + floorPause <= now;
+        placed == it->second.placedAt.end() || placed->second + floorInterval <= now;
     if (isStarved)
         return std::nullopt;
-    return last + m_hold - now;
+    return lastRefused + m_hold - now;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/refusalorder_test.cpp
+++ b/src/libreachlead/refusalorder_test.cpp
@@ -9,7 +9,7 @@
 
 namespace reachlead {
 
-/// Who is refused first.
+/// Order in which calls are refused by urgency.
 class RefusalOrderTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RefusalOrderTest);
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(lessUrgentWaitsForTheMoreUrgent);
     CPPUNIT_TEST(heldRankGetsItsFloor);
     CPPUNIT_TEST(moreUrgentIsNeverHeldForLess);
-    CPPUNIT_TEST(urgentBurstTakesNoPlaceFromItself);
+    CPPUNIT_TEST(urgentBurstIsNotDisplacedByLessUrgent);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -69,23 +69,24 @@
         }));
     }
 
-    /// Engines that hold 100 calls for 4 s each, before 40 urgent calls a second and 10 less urgent
-    /// ones that hold two places: less urgent ones begin only where no urgent one was refused.
-    void urgentBurstTakesNoPlaceFromItself()
+    /// Engines with slots for 100 calls of 4 s each get 40 urgent calls per second, and 10 less
+    /// urgent ones that occupy two slots each. Less urgent calls start only if no urgent one was
+    /// refused recently.
+    void urgentBurstIsNotDisplacedByLessUrgent()
     {
         RefusalOrder order;
         std::multimap<Time, unsigned> ends;
         unsigned running = 0;
         unsigned urgentRefused = 0;
-        unsigned lessBeside = 0; // placed within a second of an urgent call's refusal
+        unsigned lessUrgentAfterRefusal = 0; // placed within a second of an urgent call's refusal
         std::optional<Time> refusedAt;
-        constexpr unsigned places = 100;
+        constexpr unsigned slots = 100;
         for (Time now = start; now < start + seconds(20); now += milliseconds(25)) {
             while (!ends.empty() && ends.begin()->first <= now) {
                 running -= ends.begin()->second;
                 ends.erase(ends.begin());
             }
-            const bool hasRoom = running < places;
+            const bool hasRoom = running < slots;
             if (hasRoom) {
                 ++running;
                 ends.emplace(now + seconds(4), 1);
@@ -94,16 +95,17 @@
                 refusedAt = now;
                 ++urgentRefused;
             }
-            const bool isLess = (now - start) % milliseconds(100) == Duration{};
-            if (!isLess || running + 2 > places || order.remainingHold(m_llm, 1, now))
+            const bool isLessUrgentDue = (now - start) % milliseconds(100) == Duration{};
+            if (!isLessUrgentDue || running + 2 > slots || order.remainingHold(m_llm, 1, now))
                 continue;
             order.placed(m_llm, 1, now);
             running += 2;
             ends.emplace(now + seconds(4), 2);
-            lessBeside += refusedAt && now < *refusedAt + RefusalOrder::defaultHold ? 1U : 0U;
+            lessUrgentAfterRefusal +=
+                refusedAt && now < *refusedAt + RefusalOrder::defaultHold ? 1U : 0U;
         }
         CPPUNIT_ASSERT(urgentRefused > 100);
-        CPPUNIT_ASSERT(lessBeside <= 4); // one each floorPause
+        CPPUNIT_ASSERT(lessUrgentAfterRefusal <= 4); // one per floorInterval
     }
 };
 
