--- a/src/include/reachlead/evacuations.h
+++ b/src/include/reachlead/evacuations.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which availability zones are evacuated: nothing new is sent to their upstreams.
+/// Availability zones that are evacuated: their upstreams get no new calls.
 
 #pragma once
 
@@ -18,63 +18,65 @@
 
 using ZoneSet = std::set<ZoneName>;
 
-/// What one gateway tells another: the zones, and the platform's revision of their last change.
+/// The evacuated zones as one gateway reports them to another, with the platform's revision of the
+/// last change.
 struct EvacuationUpdate
 {
-    std::uint64_t revision = 0; ///< 0: the teller knows nothing
+    std::uint64_t revision = 0; ///< 0: the sender has no state
     ZoneSet zones;
 
     template <class Archive> void serialize(Archive &ar) { ar(revision, zones); }
 };
 
-/// The evacuated zones by the newest word of the platform or of a peer. Not thread-safe.
+/// The evacuated zones by the newest state received from the platform or a peer. Not thread-safe.
 ///
-/// A set holds from the revision of its last change to the revision at which it was last read.
-/// Peers compare the former, which moves with changes alone, with the latter: so a fleet whose
-/// gateways read an unchanged set at different revisions has nothing to tell each other, and an old
-/// set that a peer still holds never replaces a newer one, also where the zone was evacuated, taken
-/// back and evacuated again.
+/// A set is valid from the revision of its last change to the revision at which it was last read.
+/// Peers compare the change revision of a set with the read revision of their own. Gateways that
+/// read an unchanged set at different revisions therefore exchange nothing, and a stale set of a
+/// peer never replaces a newer one, even if the zone was evacuated, restored and evacuated again.
 class Evacuations
 {
 public:
-    /// Takes the platform's whole set as of its revision \p asOf; true when the zones changed.
+    /// Takes over the platform's complete set as of revision \p asOf; returns true if the zones
+    /// changed.
     bool setFromPlatform(ZoneSet zones, std::uint64_t asOf)
     {
-        if (asOf < m_readAt)
+        if (asOf < m_readRevision)
             return false;
-        m_readAt = asOf;
+        m_readRevision = asOf;
         const bool isSame = zones == m_zones;
         if (m_revision == 0)
-            m_revision = zones.empty() ? noChange : asOf;
+            m_revision = zones.empty() ? initialRevision : asOf;
         else if (!isSame)
             m_revision = asOf;
         m_zones = std::move(zones);
         return !isSame;
     }
 
-    /// Takes what a peer told, if it changed later than what is known here was read; true when the
+    /// Takes over a peer's set if it changed after the local set was last read; returns true if the
     /// zones changed.
-    bool applyUpdate(const EvacuationUpdate &news)
+    bool applyUpdate(const EvacuationUpdate &update)
     {
-        if (news.revision <= m_readAt)
+        if (update.revision <= m_readRevision)
             return false;
-        m_readAt = news.revision;
-        m_revision = news.revision;
-        return std::exchange(m_zones, news.zones) != news.zones;
+        m_readRevision = update.revision;
+        m_revision = update.revision;
+        return std::exchange(m_zones, update.zones) != update.zones;
     }
 
-    /// A peer has a set of this revision and mark(). Where this gateway read a different set later,
-    /// its own becomes news: it may be the only one that read the platform after the change.
-    void compareWithPeer(std::uint64_t revision, std::uint32_t mark)
+    /// Compares with the change revision and checksum() of a peer's set. If this gateway read a
+    /// different set later, it dates its own set as changed, so that peers fetch it: it may be the
+    /// only gateway that has read the platform since the change.
+    void compareWithPeer(std::uint64_t revision, std::uint32_t peerChecksum)
     {
-        if (revision > m_revision && revision <= m_readAt)
-            m_revision = mark == this->checksum() ? revision : m_readAt;
+        if (revision > m_revision && revision <= m_readRevision)
+            m_revision = peerChecksum == this->checksum() ? revision : m_readRevision;
     }
 
-    /// A number by which sets are told apart; 0: no zone.
+    /// Checksum of the set, to compare it with others; 0 if no zone is evacuated.
     std::uint32_t checksum() const;
 
-    /// What is told to a gateway whose readRevision() is \p known; a revision of 0 tells nothing.
+    /// The update for a gateway whose readRevision() is \p known; revision 0: no update needed.
     EvacuationUpdate updateSince(std::uint64_t known) const
     {
         return m_revision > known ? EvacuationUpdate{m_revision, m_zones} : EvacuationUpdate{};
@@ -83,18 +85,19 @@
     const ZoneSet &zones() const { return m_zones; }
     bool isKnown() const { return m_revision > 0; }
 
-    /// The platform's revision of the last change; 0: nothing is known.
+    /// The platform's revision of the last change; 0: no state yet.
     std::uint64_t revision() const { return m_revision; }
-    /// The platform's revision at which the set was last read, or its last change by a peer.
-    std::uint64_t readRevision() const { return m_readAt; }
+    /// The platform's revision at which the set was last read, or that of the change if a peer sent
+    /// it.
+    std::uint64_t readRevision() const { return m_readRevision; }
 
 private:
-    /// Of a set that was empty when it was first read. Changes have higher revisions.
-    static constexpr std::uint64_t noChange = 1;
+    /// Change revision of a set that was empty when first read. Real changes have higher revisions.
+    static constexpr std::uint64_t initialRevision = 1;
 
     ZoneSet m_zones;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_readAt = 0;
+    std::uint64_t m_readRevision = 0;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/leavingupstreams.h
+++ b/src/include/reachlead/leavingupstreams.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Upstreams that said in an answer that they leave.
+/// Upstreams that announced in an answer that they are leaving.
 
 #pragma once
 
@@ -15,28 +15,28 @@
 
 namespace reachlead {
 
-/// Remembers which lives of upstreams leave. Not thread-safe, reads no clock.
+/// Records which incarnations of upstreams are leaving. Not thread-safe, reads no clock.
 ///
-/// An upstream that leaves never stays after all: what its registry entry says meanwhile is older,
-/// or was written by another thread of the same process. Only its next life takes work again.
+/// An upstream never revokes its leaving: a registry entry that contradicts it is older, or was
+/// written by another thread of the same process. Only its next incarnation takes calls again.
 class LeavingUpstreams
 {
 public:
-    /// An upstream is remembered as long as the registry names it, and this long at least: an entry
-    /// that lapsed with the registry may come back.
-    static constexpr Duration rememberFor = std::chrono::minutes(10);
-    /// What is new is passed on to other gateways for this long.
-    static constexpr Duration tellSpan = seconds(30);
+    /// An upstream is remembered while the registry lists it, and at least for this long, because
+    /// an entry that the registry lost may come back.
+    static constexpr Duration minRetention = std::chrono::minutes(10);
+    /// New upstreams are reported to other gateways for this long.
+    static constexpr Duration reportWindow = seconds(30);
 
-    /// True when that was not known.
+    /// Returns true if the upstream was not known to be leaving.
     bool add(const UpstreamId &id, Time now) { return m_since.emplace(id, now).second; }
 
     bool contains(const UpstreamId &id) const { return m_since.contains(id); }
 
-    /// What is to be passed on.
+    /// Upstreams to report to other gateways.
     std::vector<UpstreamId> recent(Time now) const;
 
-    /// Drops those that are neither young nor \p isRegistered.
+    /// Removes upstreams that are past retention and not \p isRegistered.
     void dropExpired(Time now, const std::function<bool(const UpstreamId &)> &isRegistered);
 
 private:
--- a/src/include/reachlead/regions.h
+++ b/src/include/reachlead/regions.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// In which regions the calls of a route or an account may be worked on.
+/// Regions in which the calls of a route or an account may be processed.
 
 #pragma once
 
@@ -17,18 +17,18 @@
 
 namespace reachlead {
 
-/// The region of each availability zone, by the settings.
+/// The region of each availability zone, from the settings.
 using RegionByZone = std::map<ZoneName, RegionName>;
 
-/// True when a list of allowed regions names this one; an empty list allows all.
-inline bool allows(const std::vector<RegionName> &allowed, const RegionName &region)
+/// True if the list contains the region; an empty list allows all.
+inline bool isRegionAllowed(const std::vector<RegionName> &allowed, const RegionName &region)
 {
     return allowed.empty() || std::ranges::find(allowed, region) != allowed.end();
 }
 
-/// The zones whose upstreams may work on a call, by what its route and its account allow; where
-/// both name regions, both bind. Nothing: all zones. A zone that the settings do not name is in
-/// none of the regions.
+/// The zones whose upstreams may process a call, given the regions that its route and its account
+/// allow; if both list regions, both apply. nullopt: all zones. A zone that is missing from the
+/// settings belongs to no region.
 inline std::optional<ZoneSet> allowedZones(const RegionByZone &regions,
                                            const std::vector<RegionName> &byRoute,
                                            const std::vector<RegionName> &byAccount)
@@ -36,10 +36,10 @@
     if (byRoute.empty() && byAccount.empty())
         return std::nullopt;
     ZoneSet zones;
-    const auto isAllowed = [&](const auto &it) {
-        return allows(byRoute, it.second) && allows(byAccount, it.second);
+    const auto isAllowedByBoth = [&](const auto &it) {
+        return isRegionAllowed(byRoute, it.second) && isRegionAllowed(byAccount, it.second);
     };
-    for (const auto &[zone, region] : regions | std::views::filter(isAllowed))
+    for (const auto &[zone, region] : regions | std::views::filter(isAllowedByBoth))
         zones.insert(zone);
     return zones;
 }
--- a/src/libreachlead/evacuations.cpp
+++ b/src/libreachlead/evacuations.cpp
@@ -9,10 +9,10 @@
 
 std::uint32_t Evacuations::checksum() const
 {
-    std::uint32_t mark = 0;
+    std::uint32_t hash = 0;
     for (const ZoneName &zone : m_zones)
-        mark = XXH32(zone.text.data(), zone.text.size(), mark);
-    return mark;
+        hash = XXH32(zone.text.data(), zone.text.size(), hash);
+    return hash;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/leavingupstreams.cpp
+++ b/src/libreachlead/leavingupstreams.cpp
@@ -9,7 +9,7 @@
 {
     std::vector<UpstreamId> ids;
     for (const auto &[id, since] : m_since) {
-        if (since + tellSpan > now)
+        if (since + reportWindow > now)
             ids.push_back(id);
     }
     return ids;
@@ -19,7 +19,7 @@
                                    const std::function<bool(const UpstreamId &)> &isRegistered)
 {
     std::erase_if(m_since, [&](const auto &it) {
-        return it.second + rememberFor <= now && !isRegistered(it.first);
+        return it.second + minRetention <= now && !isRegistered(it.first);
     });
 }
 
--- a/src/libreachlead/leavingupstreams_test.cpp
+++ b/src/libreachlead/leavingupstreams_test.cpp
@@ -7,14 +7,14 @@
 
 namespace reachlead {
 
-/// Upstreams that said in an answer that they leave, as a directory uses them.
+/// How a directory treats upstreams that announced in an answer that they are leaving.
 class LeavingUpstreamsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LeavingUpstreamsTest);
-    CPPUNIT_TEST(entryThatComesLaterTakesNoWork);
-    CPPUNIT_TEST(endOfAnEvacuationDoesNotBringItBack);
-    CPPUNIT_TEST(itIsRememberedWhileItIsRegistered);
-    CPPUNIT_TEST(newsIsToldForAWhile);
+    CPPUNIT_TEST(laterEntryTakesNoCalls);
+    CPPUNIT_TEST(endOfAnEvacuationDoesNotRestoreIt);
+    CPPUNIT_TEST(isRememberedWhileRegistered);
+    CPPUNIT_TEST(updateIsReportedForALimitedTime);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(1000)};
@@ -29,7 +29,7 @@
         return made;
     }
 
-    void entryThatComesLaterTakesNoWork()
+    void laterEntryTakesNoCalls()
     {
         UpstreamDirectory directory;
         CPPUNIT_ASSERT(directory.setLeaving(entry().id, start).withdrawn.empty());
@@ -37,7 +37,7 @@
         CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
     }
 
-    void endOfAnEvacuationDoesNotBringItBack()
+    void endOfAnEvacuationDoesNotRestoreIt()
     {
         UpstreamDirectory directory;
         directory.replaceAll({entry()}, 1, start);
@@ -49,12 +49,12 @@
         CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
     }
 
-    void itIsRememberedWhileItIsRegistered()
+    void isRememberedWhileRegistered()
     {
         UpstreamDirectory directory;
         directory.replaceAll({entry()}, 1, start);
         directory.setLeaving(entry().id, start);
-        const Time later = start + 2 * LeavingUpstreams::rememberFor;
+        const Time later = start + 2 * LeavingUpstreams::minRetention;
         directory.expire(later);
         CPPUNIT_ASSERT(directory.usableUpstreams(ServiceName("s")).empty());
         directory.replaceAll({}, 2, later);
@@ -62,13 +62,13 @@
         CPPUNIT_ASSERT(!directory.leaving().contains(entry().id));
     }
 
-    void newsIsToldForAWhile()
+    void updateIsReportedForALimitedTime()
     {
         LeavingUpstreams leaving;
         CPPUNIT_ASSERT(leaving.add(entry().id, start));
         CPPUNIT_ASSERT(!leaving.add(entry().id, start + seconds(20)));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaving.recent(start + seconds(20)).size());
-        CPPUNIT_ASSERT(leaving.recent(start + LeavingUpstreams::tellSpan).empty());
+        CPPUNIT_ASSERT(leaving.recent(start + LeavingUpstreams::reportWindow).empty());
     }
 };
 
