--- a/src/include/reachlead/promptcache.h
+++ b/src/include/reachlead/promptcache.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What an upstream's cache of prompts is believed to hold.
+/// Estimated content of an upstream's prompt cache.
 
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace reachlead {
 
-/// Stands for a part of a prompt behind all the parts before it, for one model.
+/// Identifies a part of a prompt together with all parts before it, for one model.
 using PromptKey = std::uint64_t;
 
 /// A part of a prompt with its key.
@@ -29,7 +29,7 @@
     TokenCount tokens = 0;
 };
 
-/// A part of a prompt was placed on an upstream.
+/// Reports that a part of a prompt was placed on an upstream.
 struct PromptHint
 {
     UpstreamId upstream;
@@ -38,42 +38,42 @@
     template <class Archive> void serialize(Archive &ar) { ar(upstream, key); }
 };
 
-/// The parts of a prompt with their keys, in order.
+/// Returns the parts of a prompt with their keys, in order.
 std::vector<KeyedPart> keyParts(const std::string &model, std::span<const PromptPart> prompt);
 
-/// The parts of prompts that were sent to one upstream, least recently used first out. A belief: an
-/// engine may have dropped a part sooner. Not thread-safe, reads no clock.
+/// The prompt parts that were sent to one upstream, evicted in LRU order. An estimate: the engine
+/// may evict a part sooner. Not thread-safe, reads no clock.
 class PromptCache
 {
 public:
-    /// Tokens at the head of \p parts that are believed to be cached. A part counts only if all
-    /// parts before it do.
+    /// Number of tokens at the start of \p parts that are probably cached. A part counts only if
+    /// all parts before it do.
     TokenCount cachedTokens(std::span<const KeyedPart> parts) const;
 
-    /// A prompt with this part was sent; the part counts as cached from now on, and is read by
-    /// \p readyAt. True when it is new; one that is known is ready when it was said first.
+    /// Adds a part that was sent and will be prefilled by \p readyAt. Returns true if it is new; a
+    /// known part becomes the most recently used one and keeps its time.
     bool insert(PromptKey key, Time readyAt);
 
-    /// When a part is believed to be read; nothing when it is not cached.
+    /// When the part is expected to be prefilled; nullopt if it is not cached.
     std::optional<Time> readyAt(PromptKey key) const;
 
-    /// Forgets all, as after a restart of the upstream.
+    /// Removes all parts, as after a restart of the upstream.
     void clear();
 
-    std::size_t size() const { return m_order.size(); }
+    std::size_t size() const { return m_lruOrder.size(); }
 
-    /// Parts remembered for one upstream: about 100 bytes each, so 13 upstreams take 1 MB.
+    /// Parts kept per upstream: at about 100 bytes each, 13 upstreams take 1 MB.
     static constexpr std::size_t maxParts = 800;
 
 private:
-    struct Held
+    struct Entry
     {
         PromptKey key = 0;
         Time readyAt;
     };
-    using Order = std::list<Held>;
+    using Order = std::list<Entry>;
 
-    Order m_order; ///< least recently used first
+    Order m_lruOrder; ///< least recently used first
     std::unordered_map<PromptKey, Order::iterator> m_parts;
 };
 
--- a/src/include/reachlead/upstreamselector.h
+++ b/src/include/reachlead/upstreamselector.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The border between a call and whoever places it.
+/// Interface between a call and the component that places it.
 
 #pragma once
 
@@ -15,22 +15,24 @@
 
 namespace reachlead {
 
-/// A choice and who made it.
+/// The selected upstream and the gateway that selected it.
 struct PlacementResult
 {
-    std::optional<Selection> selection; ///< none: no upstream takes work, or it is refused
-    std::optional<Duration> retryAfter; ///< refused: its engines are too far behind until then
-    VmName placedBy; ///< the gateway that chose
+    std::optional<Selection>
+        selection; ///< nullopt: no upstream takes calls, or the call is refused
+    std::optional<Duration> retryAfter; ///< set if refused because the engines are too far behind
+    VmName placedBy; ///< the gateway that made the selection
     Duration duration{};
 };
 
-/// Chooses upstreams for calls.
+/// Selects upstreams for calls.
 class UpstreamSelector
 {
 public:
     virtual ~UpstreamSelector() = default;
 
-    /// Always ends within some tens of milliseconds. What \p ask points to must live until then.
+    /// Always completes within some tens of milliseconds. What \p query points to must stay valid
+    /// until then.
     virtual boost::asio::awaitable<PlacementResult> select(SelectionQuery ask) = 0;
 };
 
--- a/src/libreachlead/placement.cpp
+++ b/src/libreachlead/placement.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// The most a cached prefix can make up for, as part of the cost. Cache events come late and with
-/// gaps, so the hint must never outweigh the load.
-constexpr double mostPrefixBonus = 0.25;
+/// Largest cost reduction for a cached prefix. Cache events arrive late and incompletely, so the
+/// hint must never outweigh the load.
+constexpr double maxPrefixBonus = 0.25;
 
-double usedPart(const Candidate &candidate)
+double utilization(const Candidate &candidate)
 {
     return (candidate.used + 1.0) / candidate.window;
 }
@@ -27,25 +27,28 @@
     std::optional<std::size_t> select(std::span<const Candidate> candidates,
                                       Random &random) override
     {
-        const auto near = pick(candidates, true);
-        const std::vector<std::size_t> &pool = near.empty() ? pick(candidates, false) : near;
+        const auto local = indicesByZone(candidates, true);
+        const std::vector<std::size_t> &pool =
+            local.empty() ? indicesByZone(candidates, false) : local;
         if (pool.empty())
             return std::nullopt;
-        std::uniform_int_distribution<std::size_t> spread(0, pool.size() - 1);
-        const std::size_t one = pool[spread(random)];
-        const std::size_t two = pool[spread(random)];
-        return placementCost(candidates[one]) <= placementCost(candidates[two]) ? one : two;
+        std::uniform_int_distribution<std::size_t> distribution(0, pool.size() - 1);
+        const std::size_t first = pool[distribution(random)];
+        const std::size_t second = pool[distribution(random)];
+        return placementCost(candidates[first]) <= placementCost(candidates[second]) ? first
+                                                                                     : second;
     }
 
 private:
-    static std::vector<std::size_t> pick(std::span<const Candidate> candidates, bool sameZone)
+    static std::vector<std::size_t> indicesByZone(std::span<const Candidate> candidates,
+                                                  bool sameZone)
     {
-        std::vector<std::size_t> picked;
+        std::vector<std::size_t> indices;
         for (std::size_t n = 0; n < candidates.size(); ++n) {
             if (candidates[n].sameZone == sameZone)
-                picked.push_back(n);
+                indices.push_back(n);
         }
-        return picked;
+        return indices;
     }
 };
 
@@ -70,19 +73,19 @@
     {
         if (candidates.empty())
             return std::nullopt;
-        return m_turn++ % candidates.size();
+        return m_next++ % candidates.size();
     }
 
 private:
-    std::size_t m_turn = 0;
+    std::size_t m_next = 0;
 };
 
 } // namespace
 
 double placementCost(const Candidate &candidate)
 {
-    const double bonus = 1.0 - mostPrefixBonus * std::clamp(candidate.prefixShare, 0.0, 1.0);
-    return usedPart(candidate) * candidate.slowness * bonus;
+    const double prefixFactor = 1.0 - maxPrefixBonus * std::clamp(candidate.prefixShare, 0.0, 1.0);
+    return utilization(candidate) * candidate.slowness * prefixFactor;
 }
 
 std::unique_ptr<Placement> makePlacement(PlacementRule rule)
--- a/src/libreachlead/promptcache.cpp
+++ b/src/libreachlead/promptcache.cpp
@@ -14,7 +14,7 @@
     std::vector<KeyedPart> parts;
     parts.reserve(prompt.size());
     PromptKey key = XXH64(model.data(), model.size(), 0);
-    // Each key is made from the one before, so that equal parts behind different ones differ.
+    // Each key includes the one before, so that equal parts after different prefixes differ.
     for (const PromptPart &part : prompt) {
         key = XXH64(&part.id, sizeof part.id, key);
         parts.push_back({key, part.tokens});
@@ -37,14 +37,14 @@
 {
     const auto it = m_parts.find(key);
     if (it != m_parts.end()) {
-        m_order.splice(m_order.end(), m_order, it->second);
+        m_lruOrder.splice(m_lruOrder.end(), m_lruOrder, it->second);
         return false;
     }
-    m_order.push_back({key, readyAt});
-    m_parts.emplace(key, std::prev(m_order.end()));
-    if (m_order.size() > maxParts) {
-        m_parts.erase(m_order.front().key);
-        m_order.pop_front();
+    m_lruOrder.push_back({key, readyAt});
+    m_parts.emplace(key, std::prev(m_lruOrder.end()));
+    if (m_lruOrder.size() > maxParts) {
+        m_parts.erase(m_lruOrder.front().key);
+        m_lruOrder.pop_front();
     }
     return true;
 }
@@ -57,7 +57,7 @@
 
 void PromptCache::clear()
 {
-    m_order.clear();
+    m_lruOrder.clear();
     m_parts.clear();
 }
 
