--- a/src/include/reachlead/coldstartlimiter.h
+++ b/src/include/reachlead/coldstartlimiter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How fast calls may come to an upstream that has just started.
+/// Limits the call rate of an upstream that has just started.
 
 #pragma once
 
@@ -13,52 +13,53 @@
 
 namespace reachlead {
 
-/// Spaces the calls that one chooser sends to a cold upstream. Not thread-safe, reads no clock.
+/// Spaces the calls that one selector sends to a cold upstream. Not thread-safe, reads no clock.
 ///
-/// The load pattern it answers: an upstream that just started is empty, so to each chooser it is
-/// the least loaded, and all calls of a second go there. A cold upstream ends under more than its
-/// service's rate, and is then cold again. Calls are spaced evenly: any second holds one more than
-/// the rate at most, and two schedulers that both believe to place for all stay below twice that.
+/// Load pattern: an upstream that has just started is empty, so every selector finds it the least
+/// loaded and sends it all calls of a second. A cold upstream crashes above its service's cold
+/// rate, and is cold again after the restart. Calls are spaced evenly: any second holds at most one
+/// call more than the rate, and two schedulers that both place calls for the whole fleet stay below
+/// twice the rate.
 class ColdStartLimiter
 {
 public:
-    /// The registry said, with this \p revision of the upstream's entry, that it is cold for \p
-    /// left more. The first call may be sent after \p phase: gateways that each have a part of the
-    /// rate do not all begin at once.
-    void told(std::uint64_t revision, Duration left, Duration phase, Time now)
+    /// Takes over the remaining cold time \p left from the given \p revision of the upstream's
+    /// registry entry. The first call is allowed after \p phase, so that gateways that share the
+    /// rate do not all start at once.
+    void update(std::uint64_t revision, Duration left, Duration phase, Time now)
     {
-        const bool isTold = revision != m_revision;
-        if (!isTold && !m_isDoubtNew)
+        const bool isNewRevision = revision != m_revision;
+        if (!isNewRevision && !m_isAssumptionPending)
             return;
         m_revision = revision;
-        m_isDoubtNew = false;
-        if (m_until <= now)
-            m_next = now + phase;
-        if (isTold)
-            m_until = now + left;
-        m_until = std::max(m_until, m_doubtUntil);
+        m_isAssumptionPending = false;
+        if (m_coldUntil <= now)
+            m_nextCall = now + phase;
+        if (isNewRevision)
+            m_coldUntil = now + left;
+        m_coldUntil = std::max(m_coldUntil, m_assumedColdUntil);
     }
 
-    /// It is not known whether the upstream is cold: for \p span it counts as cold, from the next
-    /// told() on.
-    void doubted(Duration span, Time now)
+    /// Treats the upstream as cold for \p duration, from the next update() on, because its state is
+    /// unknown.
+    void assumeCold(Duration duration, Time now)
     {
-        m_doubtUntil = now + span;
-        m_isDoubtNew = true;
+        m_assumedColdUntil = now + duration;
+        m_isAssumptionPending = true;
     }
 
-    /// True when a call may be sent there now: it is warm, or the last call was long enough ago.
-    bool allows(Time now) const { return m_until <= now || m_next <= now; }
+    /// True if a call may be sent now: the upstream is warm, or the last call was long enough ago.
+    bool allows(Time now) const { return m_coldUntil <= now || m_nextCall <= now; }
 
-    /// A call was sent; the next may follow after \p spacing while it is cold.
-    void sent(Time now, Duration spacing) { m_next = std::max(m_next, now + spacing); }
+    /// Records a call; while the upstream is cold, the next one is allowed after \p spacing.
+    void sent(Time now, Duration spacing) { m_nextCall = std::max(m_nextCall, now + spacing); }
 
 private:
-    std::uint64_t m_revision = 0; ///< of the entry that was taken up last
-    Time m_until{}; ///< it is cold
-    Time m_doubtUntil{}; ///< it may be cold, whatever is told
-    bool m_isDoubtNew = false;
-    Time m_next{}; ///< the next call may be sent
+    std::uint64_t m_revision = 0; ///< of the registry entry taken over last
+    Time m_coldUntil{}; ///< end of the reported cold time
+    Time m_assumedColdUntil{}; ///< end of the assumed cold time, whatever the registry reports
+    bool m_isAssumptionPending = false;
+    Time m_nextCall{}; ///< earliest time of the next call
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/servicerate.h
+++ b/src/include/reachlead/servicerate.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How fast the upstreams of a service work, as seen from outside.
+/// Observed speed of the upstreams of a service.
 
 #pragma once
 
@@ -13,49 +13,55 @@
 
 namespace reachlead {
 
-/// What was seen of a service's upstreams in some time.
+/// Observations of a service's upstreams over some time.
 struct RateSample
 {
-    TokenCount tokens = 0; ///< that engines read until a call's first event, all in front included
-    std::uint32_t readMs = 0; ///< that it took them
-    std::uint32_t calls = 0; ///< that ran to their end
-    std::uint32_t callMs = 0; ///< that they held a place, summed
+    TokenCount prefillTokens =
+        0; ///< prefilled until the first events of calls, queued tokens included
+    std::uint32_t prefillMs = 0; ///< time that the prefill took
+    std::uint32_t calls = 0; ///< completed calls
+    std::uint32_t callMs = 0; ///< total time that these calls occupied a slot
 
-    bool empty() const { return readMs == 0 && calls == 0; }
+    bool empty() const { return prefillMs == 0 && calls == 0; }
     RateSample &operator+=(const RateSample &other);
 
-    template <class Archive> void serialize(Archive &ar) { ar(tokens, readMs, calls, callMs); }
+    template <class Archive> void serialize(Archive &ar)
+    {
+        ar(prefillTokens, prefillMs, calls, callMs);
+    }
 };
 
-/// Learns the pace of a service's upstreams and predicts by it. Not thread-safe, reads no clock.
+/// Learns the speed of a service's upstreams and predicts waits from it. Not thread-safe, reads no
+/// clock.
 ///
-/// An engine reads prompts in chunks between the tokens of the streams beside, so its speed follows
-/// its load and its kind; what is taken at first is only where learning begins.
+/// An engine prefills prompts in chunks between the decode steps of its other streams, so its speed
+/// depends on its load and model. The initial value is only a starting point.
 class ServiceRate
 {
 public:
-    /// \p tokensPerMs is what engines are taken to read until they were seen.
+    /// \p tokensPerMs is the assumed prefill speed until the first observation.
     explicit ServiceRate(double tokensPerMs) : m_tokensPerMs(tokensPerMs) { }
 
-    void note(const RateSample &sample);
+    void addSample(const RateSample &sample);
 
-    /// The time to the first event of a call with \p unread tokens that is sent to an upstream with
-    /// \p waiting tokens to be read, \p running calls and \p slots places.
-    Duration waitFor(TokenCount waiting, std::uint32_t running, unsigned slots,
-                     TokenCount unread) const;
+    /// Predicts the time to the first event of a call with \p prefillTokens of its own on an
+    /// upstream with \p queuedTokens to be prefilled, \p running calls and \p slots.
+    Duration predictWait(TokenCount queuedTokens, std::uint32_t running, unsigned slots,
+                         TokenCount prefillTokens) const;
 
     double tokensPerMs() const { return m_tokensPerMs; }
 
-    /// A call shows the speed only when it had this much to wait for: some chunks of an engine.
-    static constexpr TokenCount leastTokens = 8192;
-    /// Reading that replaces most of what was believed: some seconds of one engine.
-    static constexpr Duration readingMemory = seconds(4);
-    /// Calls that replace most of what was believed of how long they hold a place.
-    static constexpr double callMemory = 20.0;
+    /// Minimum prefill of a call for its sample to count: a few chunks of an engine. Shorter ones
+    /// do not show the speed.
+    static constexpr TokenCount minSampleTokens = 8192;
+    /// Prefill time whose samples replace most of the estimate: a few seconds of one engine.
+    static constexpr Duration prefillWindow = seconds(4);
+    /// Number of calls whose samples replace most of the estimated call duration.
+    static constexpr double callWindow = 20.0;
 
 private:
     double m_tokensPerMs;
-    double m_callMs = 0; ///< that a call holds its place; 0: nothing was seen yet
+    double m_callMs = 0; ///< mean time that a call occupies a slot; 0: no sample yet
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/upstreamtable.h
+++ b/src/include/reachlead/upstreamtable.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one gateway knows of the load, the health and the cached prompts of each upstream, and the
-/// choice that rests on it.
+/// One gateway's view of the load, health and cached prompts of each upstream, and the selection of
+/// upstreams based on it.
 
 #pragma once
 
@@ -32,268 +32,282 @@
 
 namespace reachlead {
 
-/// Requests and prompt tokens that are under way at an upstream.
+/// Running requests and queued prompt tokens at an upstream.
 struct UpstreamLoad
 {
-    std::uint32_t running = 0; ///< requests sent and not ended
-    std::uint64_t prefillTokens = 0; ///< prompt tokens not in its cache, of requests without a
-                                     ///< first event yet
-    std::uint32_t shortPrompts = 0; ///< of those that run, with a short prompt
+    std::uint32_t running = 0; ///< requests sent and not completed
+    /// uncached prompt tokens of requests without a first event yet
+    std::uint64_t prefillTokens = 0;
+    std::uint32_t shortPrompts = 0; ///< running requests with a short prompt
 
     bool operator==(const UpstreamLoad &) const = default;
 };
 
 using LoadByUpstream = std::map<UpstreamId, UpstreamLoad>;
 
-/// What is asked of a choice.
+/// Input of a selection.
 struct SelectionQuery
 {
     ServiceName service;
-    std::string model; ///< prompts of different models share nothing
+    std::string model; ///< prompts of different models share no cache entries
     std::span<const PromptPart> prompt; ///< empty for a plain service
-    const std::set<UpstreamId> *tried = nullptr; ///< upstreams that are not to be taken
-    const ServiceInfo *serviceInfo = nullptr; ///< what is known of the service; null: nothing
-    const ZoneName *zone = nullptr; ///< of the gateway that the call is at; null: this one's
-    const ZoneSet *permittedZones = nullptr; ///< whose upstreams may work on the call; null: all
-    /// Upstreams whose calls the chooser places, and so knows; null: all alike.
+    const std::set<UpstreamId> *tried = nullptr; ///< upstreams to exclude
+    const ServiceInfo *serviceInfo = nullptr; ///< null: unknown
+    const ZoneName *zone = nullptr; ///< of the gateway that received the call; null: the local one
+    const ZoneSet *permittedZones =
+        nullptr; ///< zones whose upstreams may process the call; null: all
+    /// Upstreams for which the selector places calls, and whose load it therefore knows; null: all
+    /// upstreams are equivalent.
     const std::set<UpstreamId> *group = nullptr;
     LatencySlack slack{};
-    bool mayRefuse = false; ///< it was sent nowhere yet, and is no continuation of an answer
-    bool isGroupScheduler = false; ///< the chooser places all gateways' calls to its group
-    /// The chooser gives out most of what the limited upstreams of its group take. Unlike
-    /// isGroupScheduler, it holds for one gateway alone among those that know the same fleet.
+    bool mayRefuse = false; ///< the call was not sent yet, and does not resume an answer
+    bool isGroupScheduler = false; ///< the selector places the calls of all gateways to its group
+    /// The selector gets most of the rate of the limited upstreams of its group. Unlike
+    /// isGroupScheduler, this is true for only one gateway among those with the same view of the
+    /// fleet.
     bool ownsLimits = false;
-    bool isLocal = true; ///< a call of the chooser's gateway; false: of one that asked it
+    bool isLocal = true; ///< false: the call belongs to a querying gateway
 };
 
-/// Numbers the questions of one life of a gateway, from 1.
+/// Numbers the queries of one incarnation of a gateway, from 1.
 using QueryId = std::uint32_t;
 
-/// What a gateway says of the load that it causes.
+/// The load that a gateway reports as caused by its calls.
 struct ReportedLoad
 {
     LoadByUpstream load;
-    /// Questions with this number and later ones are open: what they led to is not in the load.
+    /// Queries from this number on are pending: the placements they led to are not in the load.
     QueryId oldestPendingQuery = 0;
 };
 
-/// The outcome, with the inputs that decided it.
+/// Result of a selection, with the inputs that decided it.
 struct Selection
 {
     UpstreamId upstream;
-    TokenCount prefillTokens = 0; ///< of the prompt, that the upstream has to read
+    TokenCount prefillTokens = 0; ///< of the prompt, to be prefilled by the upstream
     double cost = 0; ///< ms; see UpstreamTable::Costs
-    bool isPreferred = false; ///< the upstream is the one that all gateways prefer for this prompt
-    bool isShortPrompt = false; ///< the prompt is a short one
-    std::optional<UpstreamId> fetchFrom; ///< whose cache the shared parts are to be copied from
-    TokenCount tokensToFirstEvent = 0; ///< that the upstream has to read until the first event
-    Duration coldSpacing{}; ///< until the chooser may take it again while it is cold
-    Duration minQueueWait{}; ///< for what is in front, at the healthy upstream where it is shortest
+    bool isPreferred = false; ///< the upstream is the preferred one of this prompt on all gateways
+    bool isShortPrompt = false;
+    std::optional<UpstreamId> fetchFrom; ///< from whose cache the shared parts are to be copied
+    /// prefilled by the upstream before the first event, queue included
+    TokenCount tokensToFirstEvent = 0;
+    Duration coldSpacing{}; ///< until the selector may select the upstream again while it is cold
+    Duration minQueueWait{}; ///< shortest queueing time of any healthy upstream
 };
 
 /// Load, health and cached prompts by upstream. Not thread-safe, reads no clock.
 class UpstreamTable
 {
 public:
-    /// How an upstream is chosen. All but the first are baselines to compare with.
+    /// How an upstream is selected. All but the first are baselines for comparison.
     enum class Strategy : std::uint8_t {
-        ByCost, ///< the least of the costs below
-        AffinityOnly, ///< the home of a prompt whatever its load; plain calls as LeastLoaded
-        LeastLoaded, ///< the fewest requests that run, the own zone first among equals
-        RoundRobin ///< the one that was taken longest ago
+        ByCost, ///< the lowest sum of the costs below
+        AffinityOnly, ///< a prompt's preferred upstream whatever its load; plain calls as
+                      ///< LeastLoaded
+        LeastLoaded, ///< the fewest running requests, the local zone first among equals
+        RoundRobin ///< the least recently selected one
     };
 
     /// The terms of an upstream's cost, in ms of expected wait. Settings.
     struct Costs
     {
-        /// Prompt tokens that an engine reads in 1 ms; learned from no one, so a cautious figure
-        /// for engines of this size. It scales the wait behind unread prompts.
+        /// Initial prefill speed of an engine, in tokens per ms; a cautious value for engines of
+        /// this size. Scales the cost of queued prefill, which does not follow the learned rate.
         double tokensPerMs = 35.0;
-        /// Each request that runs makes the tokens of the others slower.
+        /// Each running request slows the decoding of the others.
         double perRunningRequest = 2.0;
-        /// Waiting for a slot of a plain service that has none free: about one call's work.
+        /// Waiting for a slot of a plain service that has none free: about the duration of one
+        /// call.
         double perQueuedRequest = 30.0;
-        /// Another availability zone: bytes across zones cost, and the way there and back.
+        /// Another availability zone: the price of cross-zone traffic, and the round trip.
         double crossZone = 15.0;
-        /// Reading a part again that some upstream holds wastes engine work and its price is more
-        /// than the wait alone: a multiple of the time to read it.
+        /// Prefilling a part again that another upstream has cached wastes engine time and costs
+        /// more than the wait alone: a multiple of the prefill time.
         double recomputeFactor = 6.0;
-        /// How many model engines are kept free of long prompts.
+        /// How many model engines are dedicated to short prompts.
         DedicatedEngines::Settings dedicated;
-        /// A prompt of at most this many tokens counts as short: two chunks of an engine.
+        /// Longest prompt that counts as short: two prefill chunks of an engine.
         TokenCount maxShortPromptTokens = 4096;
-        /// A short prompt outside the quiet engines waits behind a chunk at each of its steps.
+        /// A short prompt on an engine that is not dedicated waits behind a prefill chunk at each
+        /// of its steps.
         double shortOutsideDedicated = 80.0;
-        /// A long prompt in a quiet engine slows the streams that were promised quiet.
+        /// A long prompt on a dedicated engine slows down its short-prompt streams.
         double longInDedicated = 600.0;
-        /// A stream of a short prompt that pauses too long as the prompts of its engine take more
-        /// than two chunks to read.
+        /// Per short-prompt stream whose token gap gets too long because the prompts of its engine
+        /// need more than two chunks.
         double perStalledStream = 10.0;
-        /// An upstream of another group, of whose load the chooser hears late: about what a prompt
-        /// of usual size takes to be read, so that a call leaves its group only for a clear gain.
+        /// An upstream of another group, of whose load the selector learns late: about the prefill
+        /// time of a typical prompt, so that a call leaves its group only for a clear gain.
         double crossGroup = 300.0;
-        /// Copying a part from the cache of another engine: the set-up of a transfer.
+        /// Set-up of a copy from the cache of another engine.
         double fetchSetup = 20.0;
-        /// The price of a copy, for each 1,000 tokens: about half of that of reading again.
+        /// Copying 1,000 tokens: about half the price of prefilling them again.
         double fetchPerKiloToken = 90.0;
-        /// An upstream whose circuit is open is taken only if there is no other.
+        /// An upstream whose circuit is open is selected only if there is no other.
         double unhealthy = 60'000.0;
-        /// What other gateways tell of their loads, and of where prompts lie, counts. Off: only to
-        /// measure what it is worth.
+        /// Whether reports of other gateways on their loads, and on where prompts are cached, are
+        /// used. Disabled only to measure their benefit.
         bool usesPeerLoads = true;
         bool usesPromptHints = true;
         Strategy strategy = Strategy::ByCost;
     };
 
-    /// A part that another gateway placed is taken to be read this long after it was told: by then
-    /// it is, unless the engine is far behind.
-    static constexpr Duration toldReadTime = milliseconds(1500);
+    /// A part placed by another gateway counts as prefilled this long after the report. By then it
+    /// is, unless the engine is far behind.
+    static constexpr Duration reportedPrefillTime = milliseconds(1500);
 
-    /// What is new of where prompts lie is told for this long at most: six beats of the fewest
-    /// targets reach thirty gateways.
+    /// New hints are sent for at most this long: six heartbeats with the minimum number of targets
+    /// reach thirty gateways.
     static constexpr Duration hintWindow = milliseconds(2500);
-    /// Notes in one beat: 0.5 KB, so that a beat stays below 1.2 KB.
+    /// Hints per heartbeat: 0.5 KB, so that a heartbeat stays below 1.2 KB.
     static constexpr std::size_t maxHints = 35;
 
     UpstreamTable(ZoneName zone, const Costs &costs)
-        : m_zone(std::move(zone)), m_costs(costs), m_quiet(costs.dedicated)
+        : m_zone(std::move(zone)), m_costs(costs), m_dedicated(costs.dedicated)
     { }
 
-    /// How many gateways there are, and a number of this one's own by which they differ.
-    void setFleet(std::size_t gateways, std::uint64_t own)
+    /// Sets the number of gateways, and a number that distinguishes this one from the others.
+    void setFleet(std::size_t gateways, std::uint64_t number)
     {
         m_gateways = std::max<std::size_t>(gateways, 1);
-        m_ownNumber = own;
+        m_gatewayNumber = number;
     }
 
-    /// Follows the directory: forgets upstreams that are gone.
+    /// Removes upstreams that are no longer in the directory.
     void removeUnlisted(const UpstreamDirectory &directory);
 
-    /// The best upstream of the service; none when there is none that takes work.
-    std::optional<Selection> select(const SelectionQuery &ask, const UpstreamDirectory &directory,
+    /// Selects the best upstream of the service; nullopt if none takes calls.
+    std::optional<Selection> select(const SelectionQuery &query, const UpstreamDirectory &directory,
                                     Time now);
 
-    /// A call was bound to an upstream.
-    void sent(const UpstreamId &id, const SelectionQuery &ask, const Selection &choice, Time now);
+    /// Records that a call was sent to an upstream.
+    void sent(const UpstreamId &id, const SelectionQuery &query, const Selection &selection,
+              Time now);
 
-    /// Its prompt was read: the first event came.
-    void firstEvent(const UpstreamId &id, TokenCount unread);
+    /// Records the first event of a call: its prompt has been prefilled.
+    void firstEvent(const UpstreamId &id, TokenCount prefillTokens);
 
-    /// It ended; \p unread are the tokens that firstEvent() was not told of.
-    void ended(const UpstreamId &id, TokenCount unread, bool isShortPrompt);
+    /// Records the end of a call; \p prefillTokens are those not yet subtracted by firstEvent().
+    void ended(const UpstreamId &id, TokenCount prefillTokens, bool isShortPrompt);
 
-    /// Evidence on an upstream's health.
+    /// Evidence of an upstream's health.
     void succeeded(const UpstreamId &id);
     void failed(const UpstreamId &id, Time now);
-    /// Nobody listens at its address, so its process is gone: no other call is to find that out.
+    /// Nothing listens at its address, so its process has exited. A single refused connection opens
+    /// the circuit, so that no other call has to find out.
     void connectionRefused(const UpstreamId &id, Time now);
-    /// Another gateway's evidence speaks against an upstream. It counts for reportAge and where two
-    /// gateways agree, this one included: one that is cut off from an upstream must not take it
-    /// from the others. Of 29,400 calls on a day on which 20 of 180 engines crashed at once 4,304
-    /// were sent to where nobody listened, as each gateway had to find out by itself.
+    /// Another gateway reports that an upstream fails. A report counts for reportLifetime, and only
+    /// if minReports gateways agree, so that a gateway that is partitioned from an upstream does
+    /// not take it from the others. Without reports each gateway has to find out on its own: on a
+    /// day on which 20 of 180 engines crashed at once, 4,304 of 29,400 calls were sent to addresses
+    /// where nothing listened.
     void reportedFailing(const UpstreamId &id, const VmName &reporter, Time now);
-    static constexpr Duration reportAge = milliseconds(1000);
-    static constexpr std::size_t reportsNeeded = 2;
-    /// An upstream came back into use without being followed meanwhile. Until its entry can have
-    /// told whether it became cold, it gets calls as a cold one.
+    static constexpr Duration reportLifetime = milliseconds(1000);
+    static constexpr std::size_t minReports = 2;
+    /// An upstream is in use again after a time in which it was not observed. Until its registry
+    /// entry can show whether it became cold, it gets calls at the rate of a cold one.
     void mayBeCold(const UpstreamId &id, Time now);
-    /// The platform tells of entries within some hundred ms, and peers of that at their next beats.
-    static constexpr Duration coldDoubt = milliseconds(1000);
+    /// The platform reports entries within a few hundred ms, and peers forward them with their next
+    /// heartbeats.
+    static constexpr Duration assumedColdTime = milliseconds(1000);
 
-    /// Another life answers at its address: this one is gone for good, whatever the registry says.
+    /// Another incarnation answers at its address: this one has exited, whatever the registry says.
     void replaced(const UpstreamId &id);
 
-    /// The limits that upstreams named.
+    /// The rate limits that upstreams announced.
     UpstreamLimits &limits() { return m_limits; }
     const UpstreamLimits &limits() const { return m_limits; }
 
-    /// The backoffs that upstreams asked this gateway for.
+    /// The backoffs that upstreams requested from this gateway.
     UpstreamBackoffs &backoffs() { return m_backoffs; }
     const UpstreamBackoffs &backoffs() const { return m_backoffs; }
 
-    /// True when an upstream that would take the call is to be left alone by this gateway.
-    bool isBlockedByBackoff(const SelectionQuery &ask, const UpstreamDirectory &directory,
+    /// True if an upstream that could take the call is in backoff for this gateway.
+    bool isBlockedByBackoff(const SelectionQuery &query, const UpstreamDirectory &directory,
                             Time now) const;
 
     /// False for an upstream whose calls another gateway places.
-    static bool isOfGroup(const SelectionQuery &ask, const UpstreamId &id)
+    static bool isInGroup(const SelectionQuery &query, const UpstreamId &id)
     {
-        return ask.group == nullptr || ask.group->contains(id);
+        return query.group == nullptr || query.group->contains(id);
     }
 
-    /// True when an upstream that would take the call is kept from it by its limit.
-    bool isBlockedByLimit(const SelectionQuery &ask, const UpstreamDirectory &directory,
+    /// True if an upstream that could take the call is rate-limited.
+    bool isBlockedByLimit(const SelectionQuery &query, const UpstreamDirectory &directory,
                           Time now) const;
 
-    /// What another gateway said of its own load, which counts for \p valid. Loads that are too old
-    /// are forgotten, so that the memory follows the gateways that live.
-    void setPeerLoad(const VmName &peer, ReportedLoad told, Time now,
+    /// Replaces the load that another gateway reported, for the time \p valid. Expired loads are
+    /// removed, so that memory use follows the number of live gateways.
+    void setPeerLoad(const VmName &peer, ReportedLoad reported, Time now,
                      Duration valid = peerLoadLifetime);
 
-    /// The same of the upstreams of one group alone; the rest of what it said stays.
-    void setPeerLoad(const VmName &peer, ReportedLoad told, const std::set<UpstreamId> &group,
+    /// The same for the upstreams of one group only; the rest of the reported load is kept.
+    void setPeerLoad(const VmName &peer, ReportedLoad reported, const std::set<UpstreamId> &group,
                      Time now);
 
-    /// A call of another gateway was placed, by its question of this number. It counts until that
-    /// gateway's own word of its load holds it, or grantLimit has passed.
-    void addPendingPlacement(const VmName &peer, QueryId number, const SelectionQuery &ask,
-                             const Selection &choice, Time now);
+    /// Records a call placed for another gateway, by the id of its query. It counts until the load
+    /// reported by that gateway includes it, or until pendingPlacementTimeout.
+    void addPendingPlacement(const VmName &peer, QueryId queryId, const SelectionQuery &query,
+                             const Selection &selection, Time now);
 
-    /// A placed call that its gateway never told of was not sent: the answer was lost.
-    static constexpr Duration grantLimit = milliseconds(1500);
+    /// A placement that its gateway never reported was not sent: the reply was lost.
+    static constexpr Duration pendingPlacementTimeout = milliseconds(1500);
 
-    /// False where the regions of a call keep it from an upstream.
-    static bool isInRegion(const SelectionQuery &ask, const UpstreamEntry &entry)
+    /// False if the regions of a call exclude the upstream.
+    static bool isInRegion(const SelectionQuery &query, const UpstreamEntry &entry)
     {
-        return ask.permittedZones == nullptr || ask.permittedZones->contains(entry.zone);
+        return query.permittedZones == nullptr || query.permittedZones->contains(entry.zone);
     }
 
-    /// False for an upstream that was tried, or that the regions of a call keep it from.
-    static bool isEligible(const SelectionQuery &ask, const UpstreamEntry &entry)
+    /// False if the upstream was tried, or the regions of the call exclude it.
+    static bool isEligible(const SelectionQuery &query, const UpstreamEntry &entry)
     {
-        const bool wasTried = ask.tried != nullptr && ask.tried->contains(entry.id);
-        return !wasTried && isInRegion(ask, entry);
+        const bool wasTried = query.tried != nullptr && query.tried->contains(entry.id);
+        return !wasTried && isInRegion(query, entry);
     }
 
-    /// True when the service has an upstream that takes work, was not tried and is not backed off.
-    bool hasAlternative(const SelectionQuery &ask, const UpstreamDirectory &directory,
+    /// True if the service has an upstream that takes calls, was not tried and is not in backoff.
+    bool hasAlternative(const SelectionQuery &query, const UpstreamDirectory &directory,
                         Time now) const;
 
-    /// Upstreams of a service that this gateway's own evidence speaks against, \p most at most.
+    /// Upstreams of a service that are unhealthy by this gateway's own evidence, at most \p
+    /// maxCount.
     std::vector<UpstreamId> unhealthyUpstreams(const ServiceName &service,
                                                const UpstreamDirectory &directory, Time now,
-                                               std::size_t most);
+                                               std::size_t maxCount);
 
-    /// Gateways whose loads are remembered.
+    /// Number of gateways whose loads are known.
     std::size_t peerCount() const { return m_peers.size(); }
 
-    /// The load of an upstream, by all gateways that were heard.
+    /// The load of an upstream from this and all known gateways.
     UpstreamLoad load(const UpstreamId &id, Time now);
 
-    /// This gateway's own load, to be told to others.
+    /// This gateway's own load, to be reported to others.
     LoadByUpstream ownLoad() const;
 
-    /// Prompt tokens that were sent to be read since told() was last called.
-    TokenCount unreportedTokens() const { return m_untold; }
-    /// The load is being told to others.
-    void markReported() { m_untold = 0; }
-
-    /// What calls of this gateway showed of a service's pace: the first event came \p span after a
-    /// call was sent that had \p ahead tokens to wait for; a call held its place for \p span.
-    void recordPrefill(const ServiceName &service, TokenCount ahead, Duration span);
-    void recordCallDuration(const ServiceName &service, Duration span);
-    /// The same of other gateways' calls.
+    /// Prompt tokens sent since the last markReported().
+    TokenCount unreportedTokens() const { return m_unreportedTokens; }
+    /// Records that the load is being reported to others.
+    void markReported() { m_unreportedTokens = 0; }
+
+    /// Observations from calls of this gateway: the first event came \p duration after a call was
+    /// sent that had \p tokensToFirstEvent to be prefilled; a call occupied its slot for \p
+    /// duration.
+    void recordPrefill(const ServiceName &service, TokenCount tokensToFirstEvent,
+                       Duration duration);
+    void recordCallDuration(const ServiceName &service, Duration duration);
+    /// Adds the observations of other gateways.
     void addRateSample(const ServiceName &service, const RateSample &sample);
-    /// What was noted since this was last asked for.
+    /// Returns and clears what was observed since the last call.
     RateSample takeRateSample(const ServiceName &service);
     const ServiceRate &serviceRate(const ServiceName &service);
 
-    /// Where prompts were placed in the last \p span, to be told to other gateways.
-    std::vector<PromptHint> recentHints(Time now, Duration span = hintWindow);
-    /// What another gateway said of where prompts lie.
-    void addHints(const std::vector<PromptHint> &notes, Time now);
+    /// Prompt placements of the last \p window, to be sent to other gateways.
+    std::vector<PromptHint> recentHints(Time now, Duration window = hintWindow);
+    /// Adds prompt placements of another gateway.
+    void addHints(const std::vector<PromptHint> &hints, Time now);
 
-    /// Load that a peer told counts this long where all are told in each beat or two.
+    /// How long the load of a peer counts if every peer is reported to in each heartbeat or two.
     static constexpr Duration peerLoadLifetime = milliseconds(2500);
 
 private:
@@ -301,22 +315,22 @@
     {
         UpstreamLoad load;
         Circuit circuit{circuitSettings()};
-        std::uint64_t lastTurn = 0; ///< of all choices, when it was last taken
-        bool isReplaced = false; ///< another life answers at its address
-        std::map<VmName, Time> reports; ///< of failures there, by other gateways
+        std::uint64_t lastTurn = 0; ///< sequence number of the last selection of this upstream
+        bool isReplaced = false; ///< another incarnation answers at its address
+        std::map<VmName, Time> reports; ///< of failures, by other gateways
         ColdStartLimiter cold;
         UpstreamRateLimiter limit;
         PromptCache cache;
     };
-    struct FreshNote
+    struct RecentHint
     {
-        PromptHint note;
+        PromptHint hint;
         Time at;
     };
-    /// A call that was placed for another gateway and that its load does not hold yet.
-    struct Grant
+    /// A call placed for another gateway that is not in its reported load yet.
+    struct PendingPlacement
     {
-        QueryId number = 0;
+        QueryId queryId = 0;
         UpstreamId upstream;
         UpstreamLoad load;
         Time at;
@@ -324,105 +338,106 @@
     struct PeerLoad
     {
         LoadByUpstream load;
-        std::deque<Grant> grants; ///< oldest first
+        std::deque<PendingPlacement> pending; ///< oldest first
         Time validUntil;
     };
 
-    /// An upstream that may be chosen.
+    /// An upstream that may be selected.
     struct Candidate
     {
         const UpstreamEntry *entry = nullptr;
         bool isHealthy = true;
-        bool isQuiet = false;
-        TokenCount held = 0; ///< of the prompt, that it is believed to have cached
-        TokenCount heldShared = 0; ///< the same of the shared parts alone
-        UpstreamLoad load; ///< of all gateways that were heard
-        double loadCost = 0; ///< ms; without the prompt that is asked for
+        bool isDedicated = false;
+        TokenCount cachedTokens = 0; ///< of the prompt, probably cached
+        TokenCount cachedShared = 0; ///< of the shared parts, probably cached
+        UpstreamLoad load; ///< of all known gateways
+        double loadCost = 0; ///< ms; without the prompt to be placed
     };
-    /// A prompt that is to be placed, and where it lies.
-    struct Placement
+    /// A prompt to be placed, and where it is cached.
+    struct PromptLocation
     {
         std::vector<KeyedPart> parts;
         TokenCount tokens = 0;
         TokenCount sharedTokens = 0;
-        TokenCount mostHeld = 0; ///< of the shared parts, by any healthy candidate
-        bool isCold = false; ///< nobody is known to hold all shared parts
-        std::optional<UpstreamId> home; ///< where all gateways send it while nobody holds it
-        const Candidate *source = nullptr; ///< holds mostHeld and has read it
+        TokenCount maxCachedShared = 0; ///< of the shared parts, on any healthy candidate
+        bool isCold = false; ///< no upstream is known to have all shared parts cached
+        /// where all gateways send it while none has it cached
+        std::optional<UpstreamId> preferred;
+        const Candidate *source = nullptr; ///< has maxCachedShared tokens cached and prefilled
 
         std::span<const KeyedPart> shared() const;
     };
 
-    using CostOf = double (UpstreamTable::*)(const Candidate &, const SelectionQuery &,
-                                             const Placement &, Selection *) const;
+    using CostFunction = double (UpstreamTable::*)(const Candidate &, const SelectionQuery &,
+                                                   const PromptLocation &, Selection *) const;
 
     static Circuit::Settings circuitSettings();
     void addPeerLoad(const UpstreamId &id, const UpstreamLoad &load);
-    void takeOffPeerLoad(const UpstreamId &id, const UpstreamLoad &load);
+    void subtractPeerLoad(const UpstreamId &id, const UpstreamLoad &load);
     void replacePeerLoad(PeerLoad *peer, LoadByUpstream load);
-    void dropGrants(PeerLoad *peer, QueryId oldestPendingQuery, Time now);
-    void noteParts(Record *record, const SelectionQuery &ask, const Selection &choice, Time now,
-                   bool isTold);
-    Duration readTime(const ServiceName &service, TokenCount ahead);
-    void dropOldPeers(Time now);
-    double costByCost(const Candidate &candidate, const SelectionQuery &ask,
-                      const Placement &placement, Selection *choice) const;
-    double costHomeOnly(const Candidate &candidate, const SelectionQuery &ask,
-                        const Placement &placement, Selection *choice) const;
-    double costLeastLoaded(const Candidate &candidate, const SelectionQuery &ask,
-                           const Placement &placement, Selection *choice) const;
-    double costRoundRobin(const Candidate &candidate, const SelectionQuery &ask,
-                          const Placement &placement, Selection *choice) const;
-    std::vector<Candidate> candidates(const SelectionQuery &ask, const Placement &placement,
+    void dropPendingPlacements(PeerLoad *peer, QueryId oldestPendingQuery, Time now);
+    void recordParts(Record *record, const SelectionQuery &query, const Selection &selection,
+                     Time now, bool isReported);
+    Duration prefillTime(const ServiceName &service, TokenCount tokensToFirstEvent);
+    void dropExpiredPeers(Time now);
+    double costByCost(const Candidate &candidate, const SelectionQuery &query,
+                      const PromptLocation &location, Selection *selection) const;
+    double costAffinityOnly(const Candidate &candidate, const SelectionQuery &query,
+                            const PromptLocation &location, Selection *selection) const;
+    double costLeastLoaded(const Candidate &candidate, const SelectionQuery &query,
+                           const PromptLocation &location, Selection *selection) const;
+    double costRoundRobin(const Candidate &candidate, const SelectionQuery &query,
+                          const PromptLocation &location, Selection *selection) const;
+    std::vector<Candidate> candidates(const SelectionQuery &query, const PromptLocation &location,
                                       const UpstreamDirectory &directory, Time now);
-    double loadCost(const SelectionQuery &ask, const UpstreamEntry &entry, const UpstreamLoad &load,
-                    bool isHealthy) const;
+    double loadCost(const SelectionQuery &query, const UpstreamEntry &entry,
+                    const UpstreamLoad &load, bool isHealthy) const;
     UpstreamLoad knownLoad(const UpstreamId &id) const;
     static bool isFailing(Record *record, Time now);
-    bool isBackedOff(const SelectionQuery &ask, const UpstreamId &id, Time now) const;
-    double partOf(const SelectionQuery &ask, const UpstreamId &id, bool hasMost) const;
-    Duration phaseOf(const UpstreamId &id, Duration spacing) const;
-    bool isOverLimit(const SelectionQuery &ask, const UpstreamId &id, const Record &record,
-                     Time now) const;
-    Duration coldSpacing(const SelectionQuery &ask, const UpstreamId &id) const;
-    bool isTooCold(const SelectionQuery &ask, const UpstreamEntry &entry, Record *record,
-                   Time now) const;
-    const ZoneName &zoneOf(const SelectionQuery &ask) const;
-    static Placement placementOf(const SelectionQuery &ask);
-    void findHome(const SelectionQuery &ask, const std::vector<Candidate> &among,
-                  Placement *placement) const;
-    void findSource(const SelectionQuery &ask, const std::vector<Candidate> &among, Time now,
-                    Placement *placement) const;
-    double readingCost(const Candidate &candidate, const SelectionQuery &ask,
-                       const Placement &placement, Selection *choice) const;
-    double pauseCost(const Candidate &candidate, TokenCount unread) const;
+    bool isBackedOff(const SelectionQuery &query, const UpstreamId &id, Time now) const;
+    double rateShare(const SelectionQuery &query, const UpstreamId &id, bool hasMost) const;
+    Duration gatewayPhase(const UpstreamId &id, Duration spacing) const;
+    bool isRateLimited(const SelectionQuery &query, const UpstreamId &id, const Record &record,
+                       Time now) const;
+    Duration coldSpacing(const SelectionQuery &query, const UpstreamId &id) const;
+    bool isColdLimited(const SelectionQuery &query, const UpstreamEntry &entry, Record *record,
+                       Time now) const;
+    const ZoneName &callerZone(const SelectionQuery &query) const;
+    static PromptLocation locatePrompt(const SelectionQuery &query);
+    void findPreferred(const SelectionQuery &query, const std::vector<Candidate> &candidates,
+                       PromptLocation *location) const;
+    void findSource(const SelectionQuery &query, const std::vector<Candidate> &candidates, Time now,
+                    PromptLocation *location) const;
+    double prefillCost(const Candidate &candidate, const SelectionQuery &query,
+                       const PromptLocation &location, Selection *selection) const;
+    double stallCost(const Candidate &candidate, TokenCount prefillTokens) const;
     double fetchCost(TokenCount tokens, const ServiceInfo &info) const;
-    double quietCost(const SelectionQuery &ask, bool isQuiet) const;
+    double dedicationCost(const SelectionQuery &query, bool isDedicated) const;
     std::map<ServiceName, DedicatedEngines::Demand>
     demand(const UpstreamDirectory &directory) const;
-    bool isShort(const SelectionQuery &ask) const;
+    bool isShortPrompt(const SelectionQuery &query) const;
 
     ZoneName m_zone;
     Costs m_costs;
     std::unordered_map<UpstreamId, Record> m_records;
-    std::uint64_t m_turns = 0; ///< choices that were sent
+    std::uint64_t m_turns = 0; ///< selections that were sent
     std::size_t m_gateways = 1;
-    std::uint64_t m_ownNumber = 0; ///< as in setFleet()
-    std::map<ServiceName, ServiceRate> m_paces;
-    std::map<ServiceName, RateSample> m_newPace; ///< not told yet
-    TokenCount m_untold = 0;
+    std::uint64_t m_gatewayNumber = 0; ///< as in setFleet()
+    std::map<ServiceName, ServiceRate> m_rates;
+    std::map<ServiceName, RateSample> m_unreportedSamples;
+    TokenCount m_unreportedTokens = 0;
     std::map<VmName, PeerLoad> m_peers;
-    std::unordered_map<UpstreamId, UpstreamLoad> m_peerTotals; ///< the sum over m_peers
-    std::deque<FreshNote> m_fresh; ///< oldest first
-    DedicatedEngines m_quiet;
+    std::unordered_map<UpstreamId, UpstreamLoad> m_peerTotals; ///< sum over m_peers
+    std::deque<RecentHint> m_recentHints; ///< oldest first
+    DedicatedEngines m_dedicated;
     UpstreamLimits m_limits;
     UpstreamBackoffs m_backoffs;
 };
 
-/// The upstream that all gateways prefer for a prompt whose last shared part has this key: the
-/// highest of a hash over the key and the upstream's id (rendezvous hashing), so that a change of
-/// the set moves only the prompts of the upstreams that changed. None among none.
+/// The upstream that all gateways prefer for a prompt whose last shared part has this key: the one
+/// with the highest hash of key and upstream id (rendezvous hashing), so that a change of the set
+/// moves only the prompts of the upstreams that changed. nullopt if the set is empty.
 std::optional<UpstreamId> preferredUpstream(PromptKey key,
-                                            std::span<const UpstreamEntry *const> among);
+                                            std::span<const UpstreamEntry *const> candidates);
 
 } // namespace reachlead
--- a/src/libreachlead/dedicatedengines.cpp
+++ b/src/libreachlead/dedicatedengines.cpp
@@ -17,98 +17,99 @@
 
 namespace {
 
-/// Sets the rank for quiet engines apart from the one for homes.
-constexpr std::uint64_t quietSalt = 0x71756965; // "quie"
+/// Makes this order independent of the hashes for preferred upstreams.
+constexpr std::uint64_t orderSalt = 0x71756965; // "quie"
 
-std::uint64_t quietHash(const UpstreamId &id)
+std::uint64_t orderHash(const UpstreamId &id)
 {
-    return XXH64(id.text.data(), id.text.size(), quietSalt);
+    return XXH64(id.text.data(), id.text.size(), orderSalt);
 }
 
 } // namespace
 
 void DedicatedEngines::setDemand(const std::map<ServiceName, Demand> &demand, Time now)
 {
-    m_lookedAt = now;
+    m_demandUpdatedAt = now;
     for (auto &[name, service] : m_services) {
         const auto it = demand.find(name);
         service.demand = it == demand.end() ? Demand{} : it->second;
     }
 }
 
-bool DedicatedEngines::isQuiet(const ServiceName &service, const UpstreamId &id) const
+bool DedicatedEngines::isDedicated(const ServiceName &service, const UpstreamId &id) const
 {
     const auto it = m_services.find(service);
-    return it != m_services.end() && it->second.quiet.contains(id);
+    return it != m_services.end() && it->second.dedicated.contains(id);
 }
 
-/// All engines in the order in which they become quiet: by a hash over their ids within a zone,
-/// zone by zone in turn.
-std::vector<DedicatedEngines::Ranked> DedicatedEngines::rank(const ServiceName &service,
-                                                             const UpstreamDirectory &directory)
+/// All engines in the order in which they are dedicated: by a hash of their ids within a zone, and
+/// round-robin over the zones.
+std::vector<DedicatedEngines::Engine> DedicatedEngines::order(const ServiceName &service,
+                                                              const UpstreamDirectory &directory)
 {
     std::map<ZoneName, std::vector<const UpstreamEntry *>> byZone;
     for (const UpstreamEntry *entry : directory.usableUpstreams(service))
         byZone[entry->zone].push_back(entry);
     std::vector<std::tuple<std::size_t, std::uint64_t, const UpstreamEntry *>> order;
-    for (std::vector<const UpstreamEntry *> &engines : byZone | std::views::values) {
-        std::ranges::sort(engines, {}, [](const auto *it) { return quietHash(it->id); });
-        for (std::size_t n = 0; n < engines.size(); ++n)
-            order.emplace_back(n, quietHash(engines[n]->id), engines[n]);
+    for (std::vector<const UpstreamEntry *> &inZone : byZone | std::views::values) {
+        std::ranges::sort(inZone, {}, [](const auto *it) { return orderHash(it->id); });
+        for (std::size_t n = 0; n < inZone.size(); ++n)
+            order.emplace_back(n, orderHash(inZone[n]->id), inZone[n]);
     }
     std::ranges::sort(order);
-    std::vector<Ranked> ranked;
-    ranked.reserve(order.size());
+    std::vector<Engine> engines;
+    engines.reserve(order.size());
     for (const auto &[round, hash, entry] : order)
-        ranked.push_back({entry->id, entry->slots});
-    return ranked;
+        engines.push_back({entry->id, entry->slots});
+    return engines;
 }
 
-/// Engines whose planned places hold the streams that run; where both kinds together need more than
-/// there are, each gets its part.
-std::size_t DedicatedEngines::wanted(const Service &service) const
+/// Number of engines whose planned slots hold the running streams; if both kinds together need more
+/// engines than there are, each gets its proportional share.
+std::size_t DedicatedEngines::targetCount(const Service &service) const
 {
-    const auto all = static_cast<double>(service.ranked.size());
+    const auto all = static_cast<double>(service.engines.size());
     const double slots =
-        std::transform_reduce(service.ranked.begin(), service.ranked.end(), 0.0, std::plus(),
-                              [](const Ranked &it) { return static_cast<double>(it.slots); });
+        std::transform_reduce(service.engines.begin(), service.engines.end(), 0.0, std::plus(),
+                              [](const Engine &it) { return static_cast<double>(it.slots); });
     if (slots <= 0)
         return 0;
-    const double forBrief = service.demand.brief / (m_settings.targetUtilization * slots / all);
-    const double forLong = service.demand.backlog / m_settings.backlogPerEngineMs;
-    const double both = forBrief + forLong;
-    const double quiet = both > all ? all * forBrief / both : std::ceil(forBrief);
-    const double least = std::round(m_settings.minShare * all);
-    return static_cast<std::size_t>(std::round(std::clamp(quiet, least, all - least)));
+    const double enginesForShort =
+        service.demand.shortStreams / (m_settings.targetUtilization * slots / all);
+    const double enginesForLong = service.demand.prefillBacklogMs / m_settings.backlogPerEngineMs;
+    const double both = enginesForShort + enginesForLong;
+    const double dedicated = both > all ? all * enginesForShort / both : std::ceil(enginesForShort);
+    const double minCount = std::round(m_settings.minShare * all);
+    return static_cast<std::size_t>(std::round(std::clamp(dedicated, minCount, all - minCount)));
 }
 
-void DedicatedEngines::resize(Service *service, std::size_t size)
+void DedicatedEngines::resize(Service *service, std::size_t count)
 {
-    service->quiet.clear();
-    for (const Ranked &engine : service->ranked | std::views::take(size))
-        service->quiet.insert(engine.id);
+    service->dedicated.clear();
+    for (const Engine &engine : service->engines | std::views::take(count))
+        service->dedicated.insert(engine.id);
 }
 
-const std::set<UpstreamId> &DedicatedEngines::of(const ServiceName &service,
-                                                 const UpstreamDirectory &directory, Time now)
+const std::set<UpstreamId> &DedicatedEngines::engines(const ServiceName &service,
+                                                      const UpstreamDirectory &directory, Time now)
 {
-    if (std::exchange(m_rankedAt, directory.changeCount()) != directory.changeCount()) {
+    if (std::exchange(m_directoryChanges, directory.changeCount()) != directory.changeCount()) {
         for (Service &it : m_services | std::views::values)
-            it.ranked.clear();
+            it.engines.clear();
     }
     Service &known = m_services[service];
-    if (known.ranked.empty()) {
-        known.ranked = rank(service, directory);
-        known.neededAt = now;
-        resize(&known, std::max(wanted(known), known.quiet.size()));
-        return known.quiet;
+    if (known.engines.empty()) {
+        known.engines = order(service, directory);
+        known.lastNeeded = now;
+        resize(&known, std::max(targetCount(known), known.dedicated.size()));
+        return known.dedicated;
     }
-    const std::size_t size = wanted(known);
-    if (size >= known.quiet.size())
-        known.neededAt = now;
-    if (size > known.quiet.size() || known.neededAt + shrinkPause <= now)
-        resize(&known, size);
-    return known.quiet;
+    const std::size_t count = targetCount(known);
+    if (count >= known.dedicated.size())
+        known.lastNeeded = now;
+    if (count > known.dedicated.size() || known.lastNeeded + shrinkDelay <= now)
+        resize(&known, count);
+    return known.dedicated;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/dedicatedengines_test.cpp
+++ b/src/libreachlead/dedicatedengines_test.cpp
@@ -11,17 +11,17 @@
 
 namespace reachlead {
 
-/// How many engines are kept free of long prompts, and which.
-class QuietEnginesTest : public CppUnit::TestFixture
+/// Which engines are dedicated to short prompts, and how many.
+class DedicatedEnginesTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(QuietEnginesTest);
-    CPPUNIT_TEST(aTenthIsQuietWithoutDemand);
-    CPPUNIT_TEST(burstOfShortPromptsGetsItsPlacesAtOnce);
-    CPPUNIT_TEST(longPromptsKeepTheirPart);
-    CPPUNIT_TEST(numberFallsAfterAPause);
+    CPPUNIT_TEST_SUITE(DedicatedEnginesTest);
+    CPPUNIT_TEST(aTenthIsDedicatedWithoutDemand);
+    CPPUNIT_TEST(burstOfShortPromptsGetsItsSlotsAtOnce);
+    CPPUNIT_TEST(longPromptsKeepTheirShare);
+    CPPUNIT_TEST(numberShrinksAfterADelay);
     CPPUNIT_TEST(moreDemandOnlyAddsEngines);
-    CPPUNIT_TEST(zonesTakeTurns);
-    CPPUNIT_TEST(changedSetKeepsTheNumber);
+    CPPUNIT_TEST(zonesAreUsedRoundRobin);
+    CPPUNIT_TEST(changedDirectoryKeepsTheNumber);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -43,101 +43,104 @@
         return made;
     }
 
-    static const std::set<UpstreamId> &quietFor(DedicatedEngines *engines,
-                                                const UpstreamDirectory &upstreams, double brief,
-                                                Time now, double backlog = 0)
+    static const std::set<UpstreamId> &dedicatedFor(DedicatedEngines *engines,
+                                                    const UpstreamDirectory &upstreams,
+                                                    double shortStreams, Time now,
+                                                    double prefillBacklogMs = 0)
     {
         if (now == start)
-            engines->of(ServiceName("llm"), upstreams, now); // makes the service known
-        engines->setDemand({{ServiceName("llm"), {brief, backlog}}}, now);
-        return engines->of(ServiceName("llm"), upstreams, now);
+            engines->engines(ServiceName("llm"), upstreams, now); // registers the service
+        engines->setDemand({{ServiceName("llm"), {shortStreams, prefillBacklogMs}}}, now);
+        return engines->engines(ServiceName("llm"), upstreams, now);
     }
 
-    void aTenthIsQuietWithoutDemand()
+    void aTenthIsDedicatedWithoutDemand()
     {
         const UpstreamDirectory upstreams = directory(50);
         DedicatedEngines engines({});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{5}, quietFor(&engines, upstreams, 0, start).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{5}, dedicatedFor(&engines, upstreams, 0, start).size());
     }
 
-    /// 55 engines of 32 places, 120 calls/s of 1.9 s each, then a burst of twice that.
-    void burstOfShortPromptsGetsItsPlacesAtOnce()
+    /// 55 engines with 32 slots, 120 calls/s of 1.9 s each, then a burst of twice that.
+    void burstOfShortPromptsGetsItsSlotsAtOnce()
     {
         const UpstreamDirectory upstreams = directory(55);
         DedicatedEngines engines({});
         for (const double running : {228.0, 456.0}) {
-            const std::size_t quiet = quietFor(&engines, upstreams, running, start).size();
-            CPPUNIT_ASSERT(static_cast<double>(quiet) * slots >= running / 0.6);
-            CPPUNIT_ASSERT(quiet <= 28); // not more than needed
+            const std::size_t dedicated = dedicatedFor(&engines, upstreams, running, start).size();
+            CPPUNIT_ASSERT(static_cast<double>(dedicated) * slots >= running / 0.6);
+            CPPUNIT_ASSERT(dedicated <= 28); // not more than needed
         }
     }
 
-    void longPromptsKeepTheirPart()
+    void longPromptsKeepTheirShare()
     {
         const UpstreamDirectory upstreams = directory(10);
         DedicatedEngines engines({});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{9}, quietFor(&engines, upstreams, 1e6, start).size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{9}, quietFor(&engines, upstreams, 1e6, start, 1).size());
-        // Both kinds ask for twice of what there is: 20 engines each.
-        const double brief = 20 * 0.6 * slots;
-        const Time later = start + DedicatedEngines::shrinkPause;
-        CPPUNIT_ASSERT_EQUAL(std::size_t{5},
-                             quietFor(&engines, upstreams, brief, later, 20 * 200.0).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{9}, dedicatedFor(&engines, upstreams, 1e6, start).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{9},
+                             dedicatedFor(&engines, upstreams, 1e6, start, 1).size());
+        // Each kind needs 20 engines, twice as many as there are.
+        const double shortStreams = 20 * 0.6 * slots;
+        const Time later = start + DedicatedEngines::shrinkDelay;
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{5},
+            dedicatedFor(&engines, upstreams, shortStreams, later, 20 * 200.0).size());
     }
 
-    /// After a burst of short prompts comes one of long prompts: these get their engines in 2 s.
-    void numberFallsAfterAPause()
+    /// A burst of long prompts after one of short prompts gets its engines within 2 s.
+    void numberShrinksAfterADelay()
     {
         const UpstreamDirectory upstreams = directory(55);
         DedicatedEngines engines({});
-        const std::size_t most = quietFor(&engines, upstreams, 400, start).size();
-        Time now = start + DedicatedEngines::shrinkPause - milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(most, quietFor(&engines, upstreams, 100, now).size());
+        const std::size_t peak = dedicatedFor(&engines, upstreams, 400, start).size();
+        Time now = start + DedicatedEngines::shrinkDelay - milliseconds(1);
+        CPPUNIT_ASSERT_EQUAL(peak, dedicatedFor(&engines, upstreams, 100, now).size());
         now += milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, quietFor(&engines, upstreams, 100, now).size());
-        // A lull that is shorter than the pause changes nothing.
-        const std::size_t again = quietFor(&engines, upstreams, 400, now).size();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, dedicatedFor(&engines, upstreams, 100, now).size());
+        // A drop in demand that is shorter than the delay changes nothing.
+        const std::size_t regrown = dedicatedFor(&engines, upstreams, 400, now).size();
         now += milliseconds(500);
-        CPPUNIT_ASSERT_EQUAL(again, quietFor(&engines, upstreams, 100, now).size());
-        now += DedicatedEngines::shrinkPause - milliseconds(500);
-        CPPUNIT_ASSERT_EQUAL(again, quietFor(&engines, upstreams, 400, now).size());
+        CPPUNIT_ASSERT_EQUAL(regrown, dedicatedFor(&engines, upstreams, 100, now).size());
+        now += DedicatedEngines::shrinkDelay - milliseconds(500);
+        CPPUNIT_ASSERT_EQUAL(regrown, dedicatedFor(&engines, upstreams, 400, now).size());
     }
 
-    /// Gateways that see different demands disagree on few engines: one set holds the other.
+    /// Gateways that see different demands differ in few engines: one set includes the other.
     void moreDemandOnlyAddsEngines()
     {
         const UpstreamDirectory upstreams = directory(55);
-        DedicatedEngines one({});
-        DedicatedEngines two({});
-        const std::set<UpstreamId> fewer = quietFor(&one, upstreams, 200, start);
-        const std::set<UpstreamId> more = quietFor(&two, upstreams, 240, start);
+        DedicatedEngines first({});
+        DedicatedEngines second({});
+        const std::set<UpstreamId> fewer = dedicatedFor(&first, upstreams, 200, start);
+        const std::set<UpstreamId> more = dedicatedFor(&second, upstreams, 240, start);
         CPPUNIT_ASSERT(std::ranges::includes(more, fewer));
         CPPUNIT_ASSERT(more.size() <= fewer.size() + 3);
     }
 
-    void zonesTakeTurns()
+    void zonesAreUsedRoundRobin()
     {
         const UpstreamDirectory upstreams = directory(30);
         DedicatedEngines engines({});
         std::set<ZoneName> zones;
-        for (const UpstreamId &id : quietFor(&engines, upstreams, 0, start))
+        for (const UpstreamId &id : dedicatedFor(&engines, upstreams, 0, start))
             zones.insert(upstreams.find(id)->zone);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, zones.size());
     }
 
-    void changedSetKeepsTheNumber()
+    void changedDirectoryKeepsTheNumber()
     {
         UpstreamDirectory upstreams = directory(55);
         DedicatedEngines engines({});
-        const std::size_t before = quietFor(&engines, upstreams, 228, start).size();
-        UpstreamEntry gone = *upstreams.find(UpstreamId("u0"));
-        upstreams.applyChanges({{gone, true}}, 2, start);
-        const auto &after = engines.of(ServiceName("llm"), upstreams, start);
+        const std::size_t before = dedicatedFor(&engines, upstreams, 228, start).size();
+        UpstreamEntry removed = *upstreams.find(UpstreamId("u0"));
+        upstreams.applyChanges({{removed, true}}, 2, start);
+        const auto &after = engines.engines(ServiceName("llm"), upstreams, start);
         CPPUNIT_ASSERT_EQUAL(before, after.size());
         CPPUNIT_ASSERT(!after.contains(UpstreamId("u0")));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(QuietEnginesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DedicatedEnginesTest);
 
 } // namespace reachlead
--- a/src/libreachlead/earlyrefusal_test.cpp
+++ b/src/libreachlead/earlyrefusal_test.cpp
@@ -8,24 +8,24 @@
 
 namespace reachlead {
 
-/// When a call is refused before it begins, and by what prediction.
+/// Refusal of calls before they start, and the prediction it is based on.
 class EarlyRefusalTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EarlyRefusalTest);
-    CPPUNIT_TEST(callThatBeginsInTimeIsTaken);
-    CPPUNIT_TEST(refusalNamesTheTrueWait);
+    CPPUNIT_TEST(callThatStartsInTimeIsAccepted);
+    CPPUNIT_TEST(refusalReportsTheActualWait);
     CPPUNIT_TEST(mostUrgentAreRefusedLast);
-    CPPUNIT_TEST(impatientCallerIsToldSooner);
+    CPPUNIT_TEST(callerWithLessTimeIsRefusedSooner);
     CPPUNIT_TEST(withoutATargetNothingIsRefused);
-    CPPUNIT_TEST(switchedOffItRefusesNothing);
-    CPPUNIT_TEST(paceFollowsWhatWasSeen);
-    CPPUNIT_TEST(fullPlacesAreWaitedFor);
-    CPPUNIT_TEST(engineAtTwiceItsPowerServesAllItCan);
+    CPPUNIT_TEST(disabledRefusesNothing);
+    CPPUNIT_TEST(rateFollowsObservations);
+    CPPUNIT_TEST(waitForAFullEngineIsPredicted);
+    CPPUNIT_TEST(engineAtTwiceItsCapacityServesAllItCan);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr LatencySlack usual{milliseconds(600), seconds(6), false};
 
-    /// Bounds of a quarter of the target, and of a whole one for the most urgent.
+    /// A quarter of the target, or the whole target for the most urgent calls.
     static EarlyRefusal quarter()
     {
         EarlyRefusal made;
@@ -34,17 +34,17 @@
         return made;
     }
 
-    void callThatBeginsInTimeIsTaken()
+    void callThatStartsInTimeIsAccepted()
     {
         CPPUNIT_ASSERT(!quarter().decide(usual, milliseconds(150)));
         CPPUNIT_ASSERT(!quarter().decide(usual, {}));
     }
 
-    void refusalNamesTheTrueWait()
+    void refusalReportsTheActualWait()
     {
-        const auto comeBack = quarter().decide(usual, milliseconds(2600));
-        CPPUNIT_ASSERT(comeBack.has_value());
-        CPPUNIT_ASSERT(*comeBack == milliseconds(2450));
+        const auto retryAfter = quarter().decide(usual, milliseconds(2600));
+        CPPUNIT_ASSERT(retryAfter.has_value());
+        CPPUNIT_ASSERT(*retryAfter == milliseconds(2450));
     }
 
     void mostUrgentAreRefusedLast()
@@ -55,15 +55,15 @@
         CPPUNIT_ASSERT(quarter().decide(usual, milliseconds(600)));
     }
 
-    void impatientCallerIsToldSooner()
+    void callerWithLessTimeIsRefusedSooner()
     {
         EarlyRefusal lenient;
         lenient.waitTargets = 4.0;
-        const LatencySlack patient{milliseconds(600), seconds(15), false};
-        const LatencySlack impatient{milliseconds(600), seconds(3), false};
-        CPPUNIT_ASSERT(!lenient.decide(patient, milliseconds(2400)));
-        CPPUNIT_ASSERT(!lenient.decide(impatient, milliseconds(1500)));
-        CPPUNIT_ASSERT(lenient.decide(impatient, milliseconds(1600)));
+        const LatencySlack callWithMoreTime{milliseconds(600), seconds(15), false};
+        const LatencySlack callWithLessTime{milliseconds(600), seconds(3), false};
+        CPPUNIT_ASSERT(!lenient.decide(callWithMoreTime, milliseconds(2400)));
+        CPPUNIT_ASSERT(!lenient.decide(callWithLessTime, milliseconds(1500)));
+        CPPUNIT_ASSERT(lenient.decide(callWithLessTime, milliseconds(1600)));
     }
 
     void withoutATargetNothingIsRefused()
@@ -71,47 +71,47 @@
         CPPUNIT_ASSERT(!EarlyRefusal().decide({{}, seconds(6), false}, seconds(60)));
     }
 
-    void switchedOffItRefusesNothing()
+    void disabledRefusesNothing()
     {
         EarlyRefusal off;
         off.waitTargets = 0;
         CPPUNIT_ASSERT(!off.decide(usual, seconds(60)));
     }
 
-    void paceFollowsWhatWasSeen()
+    void rateFollowsObservations()
     {
-        ServiceRate pace(35.0);
-        CPPUNIT_ASSERT(pace.waitFor(35'000, 0, 64, 0) == seconds(1));
+        ServiceRate rate(35.0);
+        CPPUNIT_ASSERT(rate.predictWait(35'000, 0, 64, 0) == seconds(1));
         for (int n = 0; n < 20; ++n)
-            pace.note({20'000, 1000, 0, 0});
-        CPPUNIT_ASSERT(pace.tokensPerMs() > 19.9 && pace.tokensPerMs() < 20.2);
-        pace.note({}); // nothing was seen
-        CPPUNIT_ASSERT(pace.tokensPerMs() < 20.2);
+            rate.addSample({20'000, 1000, 0, 0});
+        CPPUNIT_ASSERT(rate.tokensPerMs() > 19.9 && rate.tokensPerMs() < 20.2);
+        rate.addSample({}); // no observations
+        CPPUNIT_ASSERT(rate.tokensPerMs() < 20.2);
     }
 
-    void fullPlacesAreWaitedFor()
+    void waitForAFullEngineIsPredicted()
     {
-        ServiceRate pace(35.0);
-        CPPUNIT_ASSERT(pace.waitFor(0, 64, 64, 0) == Duration{}); // unknown how long they are held
-        pace.note({0, 0, 4, 12'800}); // 3.2 s each
-        CPPUNIT_ASSERT(pace.waitFor(0, 63, 64, 0) == Duration{});
-        const Duration one = pace.waitFor(0, 64, 64, 0); // the next of 64 to end
+        ServiceRate rate(35.0);
+        CPPUNIT_ASSERT(rate.predictWait(0, 64, 64, 0) == Duration{}); // call duration not known yet
+        rate.addSample({0, 0, 4, 12'800}); // 3.2 s each
+        CPPUNIT_ASSERT(rate.predictWait(0, 63, 64, 0) == Duration{});
+        const Duration one = rate.predictWait(0, 64, 64, 0); // the next of 64 to complete
         CPPUNIT_ASSERT(one > milliseconds(49) && one < milliseconds(51));
-        CPPUNIT_ASSERT(pace.waitFor(0, 127, 64, 0) > seconds(3));
+        CPPUNIT_ASSERT(rate.predictWait(0, 127, 64, 0) > seconds(3));
     }
 
-    /// Prompts of 200 ms that arrive each 100 ms for a minute at one engine that reads in turn,
-    /// also for callers who have gone. How many first events come within the target.
-    static int served(const EarlyRefusal &refusal)
+    /// Prompts of 200 ms arrive every 100 ms for a minute at one engine that prefills in order,
+    /// also for callers that have timed out. Returns how many first events are in time.
+    static int servedInTime(const EarlyRefusal &refusal)
     {
         constexpr Duration work = milliseconds(200);
         constexpr Duration arrival = milliseconds(100);
-        ServiceRate pace(20.0);
+        ServiceRate rate(20.0);
         Duration backlog{};
         int inTime = 0;
         for (Duration now{}; now < seconds(60); now += arrival) {
-            const auto waiting = static_cast<TokenCount>(toMillis(backlog) * 20.0);
-            if (!refusal.decide(usual, pace.waitFor(waiting, 0, 64, 0))) {
+            const auto queuedTokens = static_cast<TokenCount>(toMillis(backlog) * 20.0);
+            if (!refusal.decide(usual, rate.predictWait(queuedTokens, 0, 64, 0))) {
                 backlog += work;
                 inTime += backlog <= usual.target ? 1 : 0;
             }
@@ -120,13 +120,13 @@
         return inTime;
     }
 
-    void engineAtTwiceItsPowerServesAllItCan()
+    void engineAtTwiceItsCapacityServesAllItCan()
     {
-        constexpr int power = 300; // prompts that it can read in a minute
+        constexpr int capacity = 300; // prompts that it can prefill in a minute
         EarlyRefusal off;
         off.waitTargets = 0;
-        CPPUNIT_ASSERT(served(off) < power / 10);
-        CPPUNIT_ASSERT(served(EarlyRefusal()) >= power * 9 / 10);
+        CPPUNIT_ASSERT(servedInTime(off) < capacity / 10);
+        CPPUNIT_ASSERT(servedInTime(EarlyRefusal()) >= capacity * 9 / 10);
     }
 };
 
--- a/src/libreachlead/evacuations_test.cpp
+++ b/src/libreachlead/evacuations_test.cpp
@@ -15,23 +15,23 @@
 
 namespace reachlead {
 
-/// Evacuated zones by the words of a platform and of peers that come late, twice or never.
+/// Evacuated zones when the state from the platform and from peers arrives late, twice or never.
 class EvacuationsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EvacuationsTest);
     CPPUNIT_TEST(olderSetNeverReplacesANewerOne);
-    CPPUNIT_TEST(unchangedSetIsNoNews);
-    CPPUNIT_TEST(setThatChangedBeforeItWasReadHereIsOld);
-    CPPUNIT_TEST(firstReaderAfterTheEndTellsTheOthers);
-    CPPUNIT_TEST(gatewaysAgreeWhateverIsLost);
+    CPPUNIT_TEST(unchangedSetIsNoUpdate);
+    CPPUNIT_TEST(changeBeforeTheLastReadIsIgnored);
+    CPPUNIT_TEST(firstReaderAfterTheEndUpdatesTheOthers);
+    CPPUNIT_TEST(gatewaysConvergeDespiteMessageLoss);
     CPPUNIT_TEST(nothingIsSentToAnEvacuatedZone);
-    CPPUNIT_TEST(zoneThatIsTakenBackIsUsedAgain);
+    CPPUNIT_TEST(restoredZoneIsUsedAgain);
     CPPUNIT_TEST(upstreamThatAppearsInAnEvacuatedZoneIsNotUsed);
-    CPPUNIT_TEST(peerTellsOfEvacuations);
-    CPPUNIT_TEST(gatewayIsNotReadyBeforeItKnowsThem);
-    CPPUNIT_TEST(returnedUpstreamsCountAsCold);
+    CPPUNIT_TEST(evacuationsAreReceivedFromPeers);
+    CPPUNIT_TEST(gatewayIsNotReadyWithoutEvacuationState);
+    CPPUNIT_TEST(upstreamsOfARestoredZoneCountAsCold);
     CPPUNIT_TEST(allowedRegionsOfRouteAndAccountBothBind);
-    CPPUNIT_TEST(upstreamsOfOtherRegionsAreNotChosen);
+    CPPUNIT_TEST(upstreamsOfOtherRegionsAreNotSelected);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -75,16 +75,16 @@
         Evacuations known;
         CPPUNIT_ASSERT(!known.isKnown());
         CPPUNIT_ASSERT(known.setFromPlatform(zones({"a"}), 10));
-        CPPUNIT_ASSERT(known.setFromPlatform(zones({}), 20)); // taken back
-        CPPUNIT_ASSERT(!known.applyUpdate({10, zones({"a"})})); // a peer that has not heard of it
+        CPPUNIT_ASSERT(known.setFromPlatform(zones({}), 20)); // evacuation ended
+        CPPUNIT_ASSERT(!known.applyUpdate({10, zones({"a"})})); // from a peer with older state
         CPPUNIT_ASSERT(!known.setFromPlatform(zones({"a"}), 15));
         CPPUNIT_ASSERT(known.zones().empty());
-        CPPUNIT_ASSERT(known.applyUpdate({30, zones({"a"})})); // set again
+        CPPUNIT_ASSERT(known.applyUpdate({30, zones({"a"})})); // evacuated again
         CPPUNIT_ASSERT(known.zones() == zones({"a"}));
     }
 
-    /// Gateways that read the same set at different revisions need not fetch it from each other.
-    void unchangedSetIsNoNews()
+    /// Gateways that read the same set at different revisions must not fetch it from each other.
+    void unchangedSetIsNoUpdate()
     {
         Evacuations first;
         Evacuations second;
@@ -97,18 +97,18 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, second.updateSince(first.readRevision()).revision);
     }
 
-    void setThatChangedBeforeItWasReadHereIsOld()
+    void changeBeforeTheLastReadIsIgnored()
     {
         Evacuations known;
-        known.setFromPlatform({},
-                              50); // after the end of an evacuation that a peer still believes in
+        known.setFromPlatform(
+            {}, 50); // after the end of an evacuation that is still in force for a peer
         CPPUNIT_ASSERT(!known.applyUpdate({40, zones({"a"})}));
         CPPUNIT_ASSERT(known.zones().empty());
     }
 
-    /// All that followed the platform were lost as a zone was taken back: who starts then and reads
-    /// an empty set must tell those that still believe in the evacuation.
-    void firstReaderAfterTheEndTellsTheOthers()
+    /// All gateways that followed the platform were lost when an evacuation ended. One that starts
+    /// later and reads an empty set must update those that still have the evacuation.
+    void firstReaderAfterTheEndUpdatesTheOthers()
     {
         Evacuations old;
         old.setFromPlatform(zones({"a"}), 40);
@@ -120,14 +120,14 @@
         CPPUNIT_ASSERT(old.zones().empty());
         Evacuations next;
         next.setFromPlatform({}, 90);
-        next.compareWithPeer(fresh.revision(), fresh.checksum()); // the same set: no news
+        next.compareWithPeer(fresh.revision(), fresh.checksum()); // the same set: no update
         CPPUNIT_ASSERT_EQUAL(fresh.revision(), next.revision());
     }
 
-    /// A platform whose zones are evacuated and taken back at random; twelve gateways that read it
-    /// now and then, late, and tell each other, with words lost. Once all have spoken to each other
-    /// and one has read the last state, all hold it.
-    void gatewaysAgreeWhateverIsLost()
+    /// Zones of a platform are evacuated and restored at random. Twelve gateways read the platform
+    /// occasionally and late, and update each other with message loss. Once all have exchanged
+    /// state and one has read the final state, all have it.
+    void gatewaysConvergeDespiteMessageLoss()
     {
         constexpr std::size_t gateways = 12;
         for (unsigned seed = 1; seed <= 60; ++seed) {
@@ -137,7 +137,7 @@
             std::map<std::uint64_t, ZoneSet> history{{revision, {}}};
             std::vector<Evacuations> all(gateways);
             for (int n = 0; n < 400; ++n) {
-                revision += 1 + draw(3); // other kinds change too
+                revision += 1 + draw(3); // other kinds of objects change too
                 ZoneSet now = history.rbegin()->second;
                 if (draw(6) == 0) {
                     const ZoneName zone(std::string(1, static_cast<char>('a' + draw(3))));
@@ -151,22 +151,22 @@
                     reader.setFromPlatform(
                         std::prev(history.upper_bound(std::max<std::uint64_t>(asOf, 5)))->second,
                         std::max<std::uint64_t>(asOf, 5));
-                const Evacuations &teller = all[draw(gateways)];
-                Evacuations &hearer = all[draw(gateways)];
-                hearer.compareWithPeer(teller.revision(), teller.checksum());
-                if (teller.revision() > hearer.readRevision())
-                    hearer.applyUpdate(teller.updateSince(hearer.readRevision()));
-                const auto at = history.upper_bound(hearer.readRevision());
-                if (hearer.isKnown() && at != history.begin())
+                const Evacuations &sender = all[draw(gateways)];
+                Evacuations &receiver = all[draw(gateways)];
+                receiver.compareWithPeer(sender.revision(), sender.checksum());
+                if (sender.revision() > receiver.readRevision())
+                    receiver.applyUpdate(sender.updateSince(receiver.readRevision()));
+                const auto at = history.upper_bound(receiver.readRevision());
+                if (receiver.isKnown() && at != history.begin())
                     CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {} step {}", seed, n),
-                                           std::prev(at)->second == hearer.zones()
-                                               || hearer.revision() == 1);
+                                           std::prev(at)->second == receiver.zones()
+                                               || receiver.revision() == 1);
             }
             all[0].setFromPlatform(history.rbegin()->second, revision);
-            for (const Evacuations &teller : all)
-                all[0].compareWithPeer(teller.revision(), teller.checksum());
-            for (Evacuations &hearer : all)
-                hearer.applyUpdate(all[0].updateSince(hearer.readRevision()));
+            for (const Evacuations &sender : all)
+                all[0].compareWithPeer(sender.revision(), sender.checksum());
+            for (Evacuations &receiver : all)
+                receiver.applyUpdate(all[0].updateSince(receiver.readRevision()));
             for (const Evacuations &it : all)
                 CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}", seed),
                                        !it.isKnown() || it.zones() == history.rbegin()->second);
@@ -183,17 +183,17 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, usable(state));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, left.size()); // idle connections there are closed
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, state.directory().entries().size());
-        const SelectionQuery ask{ServiceName("s"), "m", {}};
+        const SelectionQuery query{ServiceName("s"), "m", {}};
         for (int n = 0; n < 20; ++n) {
-            const auto choice = state.upstreams().select(ask, state.directory(), start);
-            CPPUNIT_ASSERT(choice && choice->upstream.text[0] == 'b');
-            state.upstreams().sent(choice->upstream, ask, *choice, start);
+            const auto selection = state.upstreams().select(query, state.directory(), start);
+            CPPUNIT_ASSERT(selection && selection->upstream.text[0] == 'b');
+            state.upstreams().sent(selection->upstream, query, *selection, start);
         }
         state.evacuationsRead(zones({"a", "b"}), 12);
-        CPPUNIT_ASSERT(!state.upstreams().select(ask, state.directory(), start));
+        CPPUNIT_ASSERT(!state.upstreams().select(query, state.directory(), start));
     }
 
-    void zoneThatIsTakenBackIsUsedAgain()
+    void restoredZoneIsUsedAgain()
     {
         GatewayState state({});
         state.upstreamsListed(entries(), 10);
@@ -212,21 +212,21 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, usable(state));
     }
 
-    void peerTellsOfEvacuations()
+    void evacuationsAreReceivedFromPeers()
     {
-        GatewayState teller({});
-        teller.upstreamsListed(entries(), 10);
-        teller.evacuationsRead(zones({"a"}), 11);
-        GatewayState hearer({});
-        hearer.applyPeerUpdate(VmName("teller"), teller.updateSince(hearer.versions()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, usable(hearer));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, hearer.versions().evacuations);
-        teller.evacuationsRead({}, 15);
-        hearer.applyPeerUpdate(VmName("teller"), teller.updateSince(hearer.versions()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, usable(hearer));
+        GatewayState sender({});
+        sender.upstreamsListed(entries(), 10);
+        sender.evacuationsRead(zones({"a"}), 11);
+        GatewayState receiver({});
+        receiver.applyPeerUpdate(VmName("teller"), sender.updateSince(receiver.versions()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, usable(receiver));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, receiver.versions().evacuations);
+        sender.evacuationsRead({}, 15);
+        receiver.applyPeerUpdate(VmName("teller"), sender.updateSince(receiver.versions()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, usable(receiver));
     }
 
-    void gatewayIsNotReadyBeforeItKnowsThem()
+    void gatewayIsNotReadyWithoutEvacuationState()
     {
         GatewayState::Options options;
         options.followsEvacuations = true;
@@ -240,9 +240,9 @@
         CPPUNIT_ASSERT(state.isReady());
     }
 
-    /// Calls that a returned zone's upstream gets from one scheduler in the first second, where it
-    /// is the only one without work and its service bears five calls of a cold one.
-    void returnedUpstreamsCountAsCold()
+    /// Calls that an upstream of a restored zone gets from one scheduler in the first second, when
+    /// it is the only one without load and its service takes five calls per second when cold.
+    void upstreamsOfARestoredZoneCountAsCold()
     {
         GatewayState state({});
         state.upstreamsListed(entries(), 10);
@@ -254,23 +254,23 @@
         state.evacuationsRead({}, 12);
         ServiceInfo info;
         info.coldCallsPerSecond = 5;
-        SelectionQuery ask{ServiceName("s"), "m", {}, nullptr, &info};
-        ask.isGroupScheduler = true;
+        SelectionQuery query{ServiceName("s"), "m", {}, nullptr, &info};
+        query.isGroupScheduler = true;
         const auto callsIn = [&](Time from) {
             int got = 0;
             for (int n = 0; n < 50; ++n) {
                 const Time now = from + n * milliseconds(20);
-                const auto choice = state.upstreams().select(ask, state.directory(), now);
-                CPPUNIT_ASSERT(choice.has_value());
-                state.upstreams().sent(choice->upstream, ask, *choice, now);
-                state.upstreams().ended(choice->upstream, 0, false);
-                got += choice->upstream.text == "a1" ? 1 : 0;
+                const auto selection = state.upstreams().select(query, state.directory(), now);
+                CPPUNIT_ASSERT(selection.has_value());
+                state.upstreams().sent(selection->upstream, query, *selection, now);
+                state.upstreams().ended(selection->upstream, 0, false);
+                got += selection->upstream.text == "a1" ? 1 : 0;
             }
             return got;
         };
         const int first = callsIn(start);
         CPPUNIT_ASSERT(first > 0 && first <= 5);
-        CPPUNIT_ASSERT_EQUAL(50, callsIn(start + UpstreamTable::coldDoubt));
+        CPPUNIT_ASSERT_EQUAL(50, callsIn(start + UpstreamTable::assumedColdTime));
     }
 
     void allowedRegionsOfRouteAndAccountBothBind()
@@ -287,13 +287,13 @@
         CPPUNIT_ASSERT(allowedZones(regions, two, other) == zones({"b"}));
         CPPUNIT_ASSERT(allowedZones(regions, {RegionName("north")}, {RegionName("west")})
                        == zones({}));
-        CPPUNIT_ASSERT(allowedZones({}, two, none) == zones({})); // regions are not known
+        CPPUNIT_ASSERT(allowedZones({}, two, none) == zones({})); // unknown regions
     }
 
-    /// Any mix of regions, evacuated zones and upstreams already tried: what is chosen is in an
-    /// allowed zone, and so is the cache that it copies from; nothing is chosen only where no
-    /// upstream is allowed.
-    void upstreamsOfOtherRegionsAreNotChosen()
+    /// With any mix of regions, evacuated zones and cached prompts, the selected upstream is in an
+    /// allowed zone, and so is the upstream to fetch from; nothing is selected only if no upstream
+    /// is allowed.
+    void upstreamsOfOtherRegionsAreNotSelected()
     {
         std::mt19937 random(7);
         const std::vector<PromptPart> prompt{{1, 9000}, {2, 500}};
@@ -318,24 +318,24 @@
             ServiceInfo info;
             info.engineTokenBytes = 10'000;
             info.engineLinkMbps = 100'000;
-            SelectionQuery ask{ServiceName("s"), "m", prompt, nullptr, &info};
-            for (int k = 0; k < 4; ++k) { // caches anywhere, from before
-                const auto choice = state.upstreams().select(ask, state.directory(), start);
-                state.upstreams().sent(choice->upstream, ask, *choice, start);
+            SelectionQuery query{ServiceName("s"), "m", prompt, nullptr, &info};
+            for (int k = 0; k < 4; ++k) { // caches in any zone, from before
+                const auto selection = state.upstreams().select(query, state.directory(), start);
+                state.upstreams().sent(selection->upstream, query, *selection, start);
             }
             state.evacuationsRead(evacuated, 11);
-            ask.permittedZones = &allowed;
-            const auto choice =
-                state.upstreams().select(ask, state.directory(), start + seconds(9));
-            const auto isFit = [&](const UpstreamId &id) {
+            query.permittedZones = &allowed;
+            const auto selection =
+                state.upstreams().select(query, state.directory(), start + seconds(9));
+            const auto isAllowed = [&](const UpstreamId &id) {
                 const ZoneName &zone = state.directory().find(id)->zone;
                 return allowed.contains(zone) && !evacuated.contains(zone);
             };
             const bool isAny =
-                std::ranges::any_of(all, [&](const UpstreamEntry &it) { return isFit(it.id); });
-            CPPUNIT_ASSERT_EQUAL(isAny, choice.has_value());
-            CPPUNIT_ASSERT(!choice || isFit(choice->upstream));
-            CPPUNIT_ASSERT(!choice || !choice->fetchFrom || isFit(*choice->fetchFrom));
+                std::ranges::any_of(all, [&](const UpstreamEntry &it) { return isAllowed(it.id); });
+            CPPUNIT_ASSERT_EQUAL(isAny, selection.has_value());
+            CPPUNIT_ASSERT(!selection || isAllowed(selection->upstream));
+            CPPUNIT_ASSERT(!selection || !selection->fetchFrom || isAllowed(*selection->fetchFrom));
         }
     }
 };
--- a/src/libreachlead/upstreamtable.cpp
+++ b/src/libreachlead/upstreamtable.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-/// Of the calls that a cold upstream bears, the part of the gateway that places for all: with two
-/// that believe to be it and all others choosing by themselves, any second stays below twice the
+/// Share of a cold upstream's rate for the gateway that places calls for the whole fleet. With two
+/// gateways in that role and all others selecting on their own, any second stays below twice the
 /// rate.
-constexpr double schedulersPart = 0.8;
+constexpr double schedulerShare = 0.8;
 
-/// An upstream that names less is still sent a call in ten seconds: only an answer tells that its
-/// limit is over.
-constexpr CallRate leastLimit{100};
+/// An upstream that announces a lower limit still gets a call every ten seconds, because only an
+/// answer shows that its limit has ended.
+constexpr CallRate minLimit{100};
 
-/// What a finished count gives back, never below zero.
-template <class T> void takeOff(T *value, T n)
+/// Subtracts with saturation at zero.
+template <class T> void subtract(T *value, T n)
 {
     *value -= std::min(*value, n);
 }
@@ -33,8 +33,8 @@
 Circuit::Settings UpstreamTable::circuitSettings()
 {
     Circuit::Settings settings;
-    settings.initialOpenDuration =
-        milliseconds(500); // a crashed upstream is back after seconds at best
+    // a crashed upstream needs seconds at best to come back
+    settings.initialOpenDuration = milliseconds(500);
     settings.maxOpenDuration = seconds(4); // a recovery must be noticed within a few seconds
     return settings;
 }
@@ -54,14 +54,14 @@
     total.shortPrompts += load.shortPrompts;
 }
 
-void UpstreamTable::takeOffPeerLoad(const UpstreamId &id, const UpstreamLoad &load)
+void UpstreamTable::subtractPeerLoad(const UpstreamId &id, const UpstreamLoad &load)
 {
     const auto it = m_peerTotals.find(id);
     if (it == m_peerTotals.end())
         return;
-    takeOff(&it->second.running, load.running);
-    takeOff(&it->second.prefillTokens, load.prefillTokens);
-    takeOff(&it->second.shortPrompts, load.shortPrompts);
+    subtract(&it->second.running, load.running);
+    subtract(&it->second.prefillTokens, load.prefillTokens);
+    subtract(&it->second.shortPrompts, load.shortPrompts);
     if (it->second.running == 0)
         m_peerTotals.erase(it);
 }
@@ -69,41 +69,42 @@
 void UpstreamTable::replacePeerLoad(PeerLoad *peer, LoadByUpstream load)
 {
     for (const auto &[id, at] : peer->load)
-        takeOffPeerLoad(id, at);
+        subtractPeerLoad(id, at);
     peer->load = std::move(load);
     for (const auto &[id, at] : peer->load)
         addPeerLoad(id, at);
 }
 
-/// Forgets what was granted to questions before \p oldestPendingQuery, and what is older than
-/// grantLimit.
-void UpstreamTable::dropGrants(PeerLoad *peer, QueryId oldestPendingQuery, Time now)
+/// Drops pending placements of queries before \p oldestPendingQuery, and those older than
+/// pendingPlacementTimeout.
+void UpstreamTable::dropPendingPlacements(PeerLoad *peer, QueryId oldestPendingQuery, Time now)
 {
-    std::erase_if(peer->grants, [&](const Grant &grant) {
-        const bool isOver = grant.number < oldestPendingQuery || grant.at + grantLimit < now;
-        if (isOver)
-            takeOffPeerLoad(grant.upstream, grant.load);
-        return isOver;
+    std::erase_if(peer->pending, [&](const PendingPlacement &it) {
+        const bool isObsolete =
+            it.queryId < oldestPendingQuery || it.at + pendingPlacementTimeout < now;
+        if (isObsolete)
+            subtractPeerLoad(it.upstream, it.load);
+        return isObsolete;
     });
 }
 
-void UpstreamTable::dropOldPeers(Time now)
+void UpstreamTable::dropExpiredPeers(Time now)
 {
     const auto isOld = [&](const PeerLoad &peer) { return peer.validUntil < now; };
     for (PeerLoad &peer : m_peers | std::views::values | std::views::filter(isOld)) {
         replacePeerLoad(&peer, {});
-        dropGrants(&peer, std::numeric_limits<QueryId>::max(), now);
+        dropPendingPlacements(&peer, std::numeric_limits<QueryId>::max(), now);
     }
     std::erase_if(m_peers, [&](const auto &peer) { return isOld(peer.second); });
 }
 
 UpstreamLoad UpstreamTable::load(const UpstreamId &id, Time now)
 {
-    dropOldPeers(now);
+    dropExpiredPeers(now);
     return knownLoad(id);
 }
 
-/// As load(), once old loads were dropped: that takes a look at each peer.
+/// As load(), but without dropping expired loads, which visits every peer.
 UpstreamLoad UpstreamTable::knownLoad(const UpstreamId &id) const
 {
     UpstreamLoad total;
@@ -117,124 +118,127 @@
     return total;
 }
 
-void UpstreamTable::sent(const UpstreamId &id, const SelectionQuery &ask, const Selection &choice,
-                         Time now)
+void UpstreamTable::sent(const UpstreamId &id, const SelectionQuery &query,
+                         const Selection &selection, Time now)
 {
     Record &record = m_records[id];
     record.lastTurn = ++m_turns;
     ++record.load.running;
-    record.load.prefillTokens += choice.prefillTokens;
-    record.load.shortPrompts += choice.isShortPrompt ? 1 : 0;
-    m_untold += choice.prefillTokens;
-    noteParts(&record, ask, choice, now, true);
+    record.load.prefillTokens += selection.prefillTokens;
+    record.load.shortPrompts += selection.isShortPrompt ? 1 : 0;
+    m_unreportedTokens += selection.prefillTokens;
+    recordParts(&record, query, selection, now, true);
     record.circuit.sent();
-    record.cold.sent(now, choice.coldSpacing);
+    record.cold.sent(now, selection.coldSpacing);
     record.limit.sent(now);
 }
 
-/// Takes the parts of a prompt for cached; \p isTold: other gateways are to hear of the new ones.
-void UpstreamTable::noteParts(Record *record, const SelectionQuery &ask, const Selection &choice,
-                              Time now, bool isTold)
+/// Records the parts of a prompt as cached; if \p isReported, new ones are sent to other gateways.
+void UpstreamTable::recordParts(Record *record, const SelectionQuery &query,
+                                const Selection &selection, Time now, bool isReported)
 {
-    const Time readyAt = now + readTime(ask.service, choice.tokensToFirstEvent);
-    const Placement placement = placementOf(ask);
-    for (const KeyedPart &part : placement.shared()) {
-        if (record->cache.insert(part.key, readyAt) && isTold)
-            m_fresh.push_back({{choice.upstream, part.key}, now});
+    const Time readyAt = now + prefillTime(query.service, selection.tokensToFirstEvent);
+    const PromptLocation location = locatePrompt(query);
+    for (const KeyedPart &part : location.shared()) {
+        if (record->cache.insert(part.key, readyAt) && isReported)
+            m_recentHints.push_back({{selection.upstream, part.key}, now});
     }
-    if (!placement.parts.empty())
-        record->cache.insert(placement.parts.back().key, readyAt);
+    if (!location.parts.empty())
+        record->cache.insert(location.parts.back().key, readyAt);
 }
 
-/// The time until an engine has read this much, what is in front included.
-Duration UpstreamTable::readTime(const ServiceName &service, TokenCount ahead)
+/// The time an engine needs to prefill this much, queue included.
+Duration UpstreamTable::prefillTime(const ServiceName &service, TokenCount tokensToFirstEvent)
 {
-    return serviceRate(service).waitFor(ahead, 0, 0, 0);
+    return serviceRate(service).predictWait(tokensToFirstEvent, 0, 0, 0);
 }
 
-void UpstreamTable::addPendingPlacement(const VmName &peer, QueryId number,
-                                        const SelectionQuery &ask, const Selection &choice,
+void UpstreamTable::addPendingPlacement(const VmName &peer, QueryId queryId,
+                                        const SelectionQuery &query, const Selection &selection,
                                         Time now)
 {
     if (!m_costs.usesPeerLoads)
         return;
-    dropOldPeers(now);
-    Record &record = m_records[choice.upstream];
+    dropExpiredPeers(now);
+    Record &record = m_records[selection.upstream];
     record.lastTurn = ++m_turns;
-    noteParts(&record, ask, choice, now, false);
-    record.cold.sent(now, choice.coldSpacing);
+    recordParts(&record, query, selection, now, false);
+    record.cold.sent(now, selection.coldSpacing);
     record.limit.sent(now);
     PeerLoad &known = m_peers[peer];
     known.validUntil = std::max(known.validUntil, now + peerLoadLifetime);
-    const UpstreamLoad load{1, choice.prefillTokens, choice.isShortPrompt ? 1U : 0U};
-    known.grants.push_back({number, choice.upstream, load, now});
-    addPeerLoad(choice.upstream, load);
+    const UpstreamLoad load{1, selection.prefillTokens, selection.isShortPrompt ? 1U : 0U};
+    known.pending.push_back({queryId, selection.upstream, load, now});
+    addPeerLoad(selection.upstream, load);
 }
 
 const ServiceRate &UpstreamTable::serviceRate(const ServiceName &service)
 {
-    return m_paces.try_emplace(service, m_costs.tokensPerMs).first->second;
+    return m_rates.try_emplace(service, m_costs.tokensPerMs).first->second;
 }
 
 void UpstreamTable::addRateSample(const ServiceName &service, const RateSample &sample)
 {
-    m_paces.try_emplace(service, m_costs.tokensPerMs).first->second.note(sample);
+    m_rates.try_emplace(service, m_costs.tokensPerMs).first->second.addSample(sample);
 }
 
-void UpstreamTable::recordPrefill(const ServiceName &service, TokenCount ahead, Duration span)
+void UpstreamTable::recordPrefill(const ServiceName &service, TokenCount tokensToFirstEvent,
+                                  Duration duration)
 {
-    if (ahead < ServiceRate::leastTokens)
+    if (tokensToFirstEvent < ServiceRate::minSampleTokens)
         return;
-    const RateSample sample{ahead, static_cast<std::uint32_t>(toMillis(span)), 0, 0};
+    const RateSample sample{tokensToFirstEvent, static_cast<std::uint32_t>(toMillis(duration)), 0,
+                            0};
     addRateSample(service, sample);
-    m_newPace[service] += sample;
+    m_unreportedSamples[service] += sample;
 }
 
-void UpstreamTable::recordCallDuration(const ServiceName &service, Duration span)
+void UpstreamTable::recordCallDuration(const ServiceName &service, Duration duration)
 {
-    const RateSample sample{0, 0, 1, static_cast<std::uint32_t>(toMillis(span))};
+    const RateSample sample{0, 0, 1, static_cast<std::uint32_t>(toMillis(duration))};
     addRateSample(service, sample);
-    m_newPace[service] += sample;
+    m_unreportedSamples[service] += sample;
 }
 
 RateSample UpstreamTable::takeRateSample(const ServiceName &service)
 {
-    return std::exchange(m_newPace[service], RateSample());
+    return std::exchange(m_unreportedSamples[service], RateSample());
 }
 
-std::vector<PromptHint> UpstreamTable::recentHints(Time now, Duration span)
+std::vector<PromptHint> UpstreamTable::recentHints(Time now, Duration window)
 {
-    while (!m_fresh.empty() && (m_fresh.front().at + span < now || m_fresh.size() > maxHints))
-        m_fresh.pop_front();
-    std::vector<PromptHint> notes;
-    std::ranges::transform(m_fresh, std::back_inserter(notes), &FreshNote::note);
-    return notes;
+    while (!m_recentHints.empty()
+           && (m_recentHints.front().at + window < now || m_recentHints.size() > maxHints))
+        m_recentHints.pop_front();
+    std::vector<PromptHint> hints;
+    std::ranges::transform(m_recentHints, std::back_inserter(hints), &RecentHint::hint);
+    return hints;
 }
 
-void UpstreamTable::addHints(const std::vector<PromptHint> &notes, Time now)
+void UpstreamTable::addHints(const std::vector<PromptHint> &hints, Time now)
 {
     if (!m_costs.usesPromptHints)
         return;
-    for (const PromptHint &note : notes) {
-        if (const auto it = m_records.find(note.upstream); it != m_records.end())
-            it->second.cache.insert(note.key, now + toldReadTime);
+    for (const PromptHint &hint : hints) {
+        if (const auto it = m_records.find(hint.upstream); it != m_records.end())
+            it->second.cache.insert(hint.key, now + reportedPrefillTime);
     }
 }
 
-void UpstreamTable::firstEvent(const UpstreamId &id, TokenCount unread)
+void UpstreamTable::firstEvent(const UpstreamId &id, TokenCount prefillTokens)
 {
     if (const auto it = m_records.find(id); it != m_records.end())
-        takeOff(&it->second.load.prefillTokens, unread);
+        subtract(&it->second.load.prefillTokens, prefillTokens);
 }
 
-void UpstreamTable::ended(const UpstreamId &id, TokenCount unread, bool isShortPrompt)
+void UpstreamTable::ended(const UpstreamId &id, TokenCount prefillTokens, bool isShortPrompt)
 {
     const auto it = m_records.find(id);
     if (it == m_records.end())
         return;
-    takeOff(&it->second.load.prefillTokens, unread);
-    takeOff(&it->second.load.running, std::uint32_t{1});
-    takeOff(&it->second.load.shortPrompts, std::uint32_t{isShortPrompt ? 1U : 0U});
+    subtract(&it->second.load.prefillTokens, prefillTokens);
+    subtract(&it->second.load.running, std::uint32_t{1});
+    subtract(&it->second.load.shortPrompts, std::uint32_t{isShortPrompt ? 1U : 0U});
     it->second.circuit.abandoned();
 }
 
@@ -261,83 +265,86 @@
     m_records[id].reports[reporter] = now;
 }
 
-/// By this gateway's evidence, or by that of enough others.
+/// By this gateway's evidence, or by enough reports of others.
 bool UpstreamTable::isFailing(Record *record, Time now)
 {
-    std::erase_if(record->reports, [&](const auto &it) { return it.second + reportAge < now; });
+    std::erase_if(record->reports,
+                  [&](const auto &it) { return it.second + reportLifetime < now; });
     if (record->isReplaced || !record->circuit.allows(now))
         return true;
-    return record->reports.size() >= reportsNeeded;
+    return record->reports.size() >= minReports;
 }
 
-/// The chooser's part of a rate that all gateways share. Where one gateway \p hasMost of it, those
-/// that choose by themselves share the rest; where none does, all have equal parts.
-double UpstreamTable::partOf(const SelectionQuery &ask, const UpstreamId &id, bool hasMost) const
+/// The selector's share of a rate that all gateways share. If one gateway \p hasMost of it, those
+/// that select on their own share the rest; otherwise all have equal shares.
+double UpstreamTable::rateShare(const SelectionQuery &query, const UpstreamId &id,
+                                bool hasMost) const
 {
-    if (hasMost && isOfGroup(ask, id))
-        return schedulersPart;
+    if (hasMost && isInGroup(query, id))
+        return schedulerShare;
     const double equal = 1.0 / static_cast<double>(m_gateways);
-    return ask.group == nullptr ? equal : equal * (1.0 - schedulersPart);
+    return query.group == nullptr ? equal : equal * (1.0 - schedulerShare);
 }
 
-/// Spreads over a spacing the moments at which gateways begin.
-Duration UpstreamTable::phaseOf(const UpstreamId &id, Duration spacing) const
+/// Spreads the start times of the gateways over a spacing.
+Duration UpstreamTable::gatewayPhase(const UpstreamId &id, Duration spacing) const
 {
     constexpr std::uint64_t parts = 256;
-    const std::uint64_t part = (std::hash<UpstreamId>{}(id) ^ m_ownNumber) % parts;
+    const std::uint64_t part = (std::hash<UpstreamId>{}(id) ^ m_gatewayNumber) % parts;
     return fromSeconds(toSeconds(spacing) * static_cast<double>(part) / static_cast<double>(parts));
 }
 
-/// Between two calls of the chooser to a cold upstream.
-Duration UpstreamTable::coldSpacing(const SelectionQuery &ask, const UpstreamId &id) const
+/// Interval between two calls of the selector to a cold upstream.
+Duration UpstreamTable::coldSpacing(const SelectionQuery &query, const UpstreamId &id) const
 {
-    if (ask.serviceInfo == nullptr || ask.serviceInfo->coldCallsPerSecond <= 0)
+    if (query.serviceInfo == nullptr || query.serviceInfo->coldCallsPerSecond <= 0)
         return {};
     return fromSeconds(
-        1.0 / (partOf(ask, id, ask.isGroupScheduler) * ask.serviceInfo->coldCallsPerSecond));
+        1.0
+        / (rateShare(query, id, query.isGroupScheduler) * query.serviceInfo->coldCallsPerSecond));
 }
 
-/// True for an upstream that is cold and had its share of calls. One that had just started got 15
-/// calls in its first second, of a rate of 5.9.
-bool UpstreamTable::isTooCold(const SelectionQuery &ask, const UpstreamEntry &entry, Record *record,
-                              Time now) const
+/// True for a cold upstream that has had its share of calls. Without this, one that had just
+/// started got 15 calls in its first second at a cold rate of 5.9.
+bool UpstreamTable::isColdLimited(const SelectionQuery &query, const UpstreamEntry &entry,
+                                  Record *record, Time now) const
 {
-    const Duration spacing = coldSpacing(ask, entry.id);
+    const Duration spacing = coldSpacing(query, entry.id);
     if (spacing == Duration{})
         return false;
-    const Duration phase = ask.isGroupScheduler ? Duration{} : phaseOf(entry.id, spacing);
-    record->cold.told(entry.revision, milliseconds(entry.coldLeftMs), phase, now);
+    const Duration phase = query.isGroupScheduler ? Duration{} : gatewayPhase(entry.id, spacing);
+    record->cold.update(entry.revision, milliseconds(entry.coldLeftMs), phase, now);
     return !record->cold.allows(now);
 }
 
-/// True for an upstream that named a limit and got the chooser's part of it.
-bool UpstreamTable::isOverLimit(const SelectionQuery &ask, const UpstreamId &id,
-                                const Record &record, Time now) const
+/// True if the upstream announced a limit and the selector has used its share of it.
+bool UpstreamTable::isRateLimited(const SelectionQuery &query, const UpstreamId &id,
+                                  const Record &record, Time now) const
 {
     const std::optional<CallRate> limit = m_limits.currentLimit(id, now);
     if (!limit)
         return false;
-    const double rate = std::max(*limit, leastLimit).perSecond();
-    const Duration spacing = fromSeconds(1.0 / (partOf(ask, id, ask.ownsLimits) * rate));
-    if (m_gateways == 1 || (ask.ownsLimits && isOfGroup(ask, id)))
+    const double rate = std::max(*limit, minLimit).perSecond();
+    const Duration spacing = fromSeconds(1.0 / (rateShare(query, id, query.ownsLimits) * rate));
+    if (m_gateways == 1 || (query.ownsLimits && isInGroup(query, id)))
         return !record.limit.allowsNext(spacing, now);
-    return !record.limit.allowsInSlot(spacing, phaseOf(id, spacing), now);
+    return !record.limit.allowsInSlot(spacing, gatewayPhase(id, spacing), now);
 }
 
-bool UpstreamTable::isBlockedByLimit(const SelectionQuery &ask, const UpstreamDirectory &directory,
-                                     Time now) const
+bool UpstreamTable::isBlockedByLimit(const SelectionQuery &query,
+                                     const UpstreamDirectory &directory, Time now) const
 {
     if (m_limits.isEmpty())
         return false;
     return std::ranges::any_of(
-        directory.usableUpstreams(ask.service), [&](const UpstreamEntry *entry) {
-            return isEligible(ask, *entry) && m_limits.currentLimit(entry->id, now);
+        directory.usableUpstreams(query.service), [&](const UpstreamEntry *entry) {
+            return isEligible(query, *entry) && m_limits.currentLimit(entry->id, now);
         });
 }
 
 void UpstreamTable::mayBeCold(const UpstreamId &id, Time now)
 {
-    m_records[id].cold.doubted(coldDoubt, now);
+    m_records[id].cold.assumeCold(assumedColdTime, now);
 }
 
 void UpstreamTable::replaced(const UpstreamId &id)
@@ -346,66 +353,67 @@
         it->second.isReplaced = true;
 }
 
-void UpstreamTable::setPeerLoad(const VmName &peer, ReportedLoad told, Time now, Duration valid)
+void UpstreamTable::setPeerLoad(const VmName &peer, ReportedLoad reported, Time now, Duration valid)
 {
-    dropOldPeers(now);
+    dropExpiredPeers(now);
     if (!m_costs.usesPeerLoads)
         return;
     PeerLoad &known = m_peers[peer];
-    replacePeerLoad(&known, std::move(told.load));
-    dropGrants(&known, told.oldestPendingQuery, now);
+    replacePeerLoad(&known, std::move(reported.load));
+    dropPendingPlacements(&known, reported.oldestPendingQuery, now);
     known.validUntil = now + valid;
 }
 
-void UpstreamTable::setPeerLoad(const VmName &peer, ReportedLoad told,
+void UpstreamTable::setPeerLoad(const VmName &peer, ReportedLoad reported,
                                 const std::set<UpstreamId> &group, Time now)
 {
-    dropOldPeers(now);
+    dropExpiredPeers(now);
     if (!m_costs.usesPeerLoads)
         return;
     PeerLoad &known = m_peers[peer];
     for (const auto &[id, at] : known.load) {
         if (!group.contains(id))
-            told.load.emplace(id, at);
+            reported.load.emplace(id, at);
     }
-    replacePeerLoad(&known, std::move(told.load));
-    dropGrants(&known, told.oldestPendingQuery, now);
+    replacePeerLoad(&known, std::move(reported.load));
+    dropPendingPlacements(&known, reported.oldestPendingQuery, now);
     known.validUntil = std::max(known.validUntil, now + peerLoadLifetime);
 }
 
-bool UpstreamTable::hasAlternative(const SelectionQuery &ask, const UpstreamDirectory &directory,
+bool UpstreamTable::hasAlternative(const SelectionQuery &query, const UpstreamDirectory &directory,
                                    Time now) const
 {
     return std::ranges::any_of(
-        directory.usableUpstreams(ask.service), [&](const UpstreamEntry *entry) {
-            return isEligible(ask, *entry) && !isBackedOff(ask, entry->id, now);
+        directory.usableUpstreams(query.service), [&](const UpstreamEntry *entry) {
+            return isEligible(query, *entry) && !isBackedOff(query, entry->id, now);
         });
 }
 
-/// A backoff binds the gateway that was asked for it; calls placed for others go on.
-bool UpstreamTable::isBackedOff(const SelectionQuery &ask, const UpstreamId &id, Time now) const
+/// A backoff applies to the gateway it was requested from; calls placed for others are not
+/// affected.
+bool UpstreamTable::isBackedOff(const SelectionQuery &query, const UpstreamId &id, Time now) const
 {
-    return ask.isLocal && m_backoffs.isBackedOff(id, now);
+    return query.isLocal && m_backoffs.isBackedOff(id, now);
 }
 
-bool UpstreamTable::isBlockedByBackoff(const SelectionQuery &ask,
+bool UpstreamTable::isBlockedByBackoff(const SelectionQuery &query,
                                        const UpstreamDirectory &directory, Time now) const
 {
     if (m_backoffs.isEmpty())
         return false;
     return std::ranges::any_of(
-        directory.usableUpstreams(ask.service), [&](const UpstreamEntry *entry) {
-            return isEligible(ask, *entry) && isBackedOff(ask, entry->id, now);
+        directory.usableUpstreams(query.service), [&](const UpstreamEntry *entry) {
+            return isEligible(query, *entry) && isBackedOff(query, entry->id, now);
         });
 }
 
 std::vector<UpstreamId> UpstreamTable::unhealthyUpstreams(const ServiceName &service,
                                                           const UpstreamDirectory &directory,
-                                                          Time now, std::size_t most)
+                                                          Time now, std::size_t maxCount)
 {
     std::vector<UpstreamId> found;
     for (const UpstreamEntry *entry : directory.usableUpstreams(service)) {
-        if (found.size() == most)
+        if (found.size() == maxCount)
             break;
         const auto it = m_records.find(entry->id);
         const bool isKnown = it != m_records.end();
--- a/src/libreachlead/upstreamtable_cold_test.cpp
+++ b/src/libreachlead/upstreamtable_cold_test.cpp
@@ -13,7 +13,7 @@
 
 namespace reachlead {
 
-/// Upstreams that just started, or became cold again, beside warm ones that have work.
+/// Upstreams that have just started, or became cold again, beside warm ones with load.
 class ColdUpstreamTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ColdUpstreamTest);
@@ -21,12 +21,12 @@
     CPPUNIT_TEST(fleetStaysWithinTheBound);
     CPPUNIT_TEST(warmUpstreamTakesAll);
     CPPUNIT_TEST(coldAgainAtAnyMoment);
-    CPPUNIT_TEST(serviceWithoutARateIsNotPaced);
-    CPPUNIT_TEST(nothingIsChosenWhereAllHadTheirShare);
+    CPPUNIT_TEST(serviceWithoutARateIsNotLimited);
+    CPPUNIT_TEST(nothingIsSelectedWhenAllHadTheirShare);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
-    static constexpr double rate = 5.9; ///< calls a second that a cold upstream bears
+    static constexpr double rate = 5.9; ///< calls per second that a cold upstream accepts
     static constexpr std::uint32_t coldMs = 3000;
 
     static std::vector<UpstreamEntry> entries(std::size_t warm, std::uint32_t leftMs,
@@ -46,40 +46,40 @@
         return all;
     }
 
-    /// A gateway with ten warm upstreams that have work, and a cold one that has none.
-    struct Chooser
+    /// A gateway with ten loaded warm upstreams and an idle cold one.
+    struct Selector
     {
-        explicit Chooser(std::uint64_t number, bool isGroupScheduler, std::size_t warm = 10,
-                         double perSecond = rate)
+        explicit Selector(std::uint64_t number, bool isGroupScheduler, std::size_t warm = 10,
+                          double perSecond = rate)
             : isScheduler(isGroupScheduler)
         {
             info.name = ServiceName("llm");
             info.engineSlots = 64;
             info.coldCallsPerSecond = perSecond;
-            book.setFleet(30, number);
+            table.setFleet(30, number);
             directory.replaceAll(entries(warm, coldMs, 5), 5, start);
             LoadByUpstream load;
             for (std::size_t n = 1; n <= warm; ++n)
                 load[UpstreamId(fmt::format("warm{}", n))] = {60, 0, 0};
-            book.setPeerLoad(VmName("peer"), {load, 0}, start, std::chrono::hours(1));
+            table.setPeerLoad(VmName("peer"), {load, 0}, start, std::chrono::hours(1));
         }
 
-        /// Places a call; true when it went to the cold upstream.
+        /// Places a call; returns true if it went to the cold upstream.
         bool place(Time now)
         {
-            SelectionQuery ask{ServiceName("llm"), "m", {}, nullptr, &info};
-            ask.isGroupScheduler = isScheduler;
-            ask.group = group;
-            const auto choice = book.select(ask, directory, now);
-            if (!choice)
+            SelectionQuery query{ServiceName("llm"), "m", {}, nullptr, &info};
+            query.isGroupScheduler = isScheduler;
+            query.group = group;
+            const auto selection = table.select(query, directory, now);
+            if (!selection)
                 return false;
             ++placed;
-            book.sent(choice->upstream, ask, *choice, now);
-            book.ended(choice->upstream, 0, false);
-            return choice->upstream.text == "cold";
+            table.sent(selection->upstream, query, *selection, now);
+            table.ended(selection->upstream, 0, false);
+            return selection->upstream.text == "cold";
         }
 
-        /// Calls in a second, evenly spaced; how many went to the cold upstream.
+        /// Places evenly spaced calls for a second; returns how many went to the cold upstream.
         int second(Time from, int calls = 100)
         {
             int cold = 0;
@@ -91,29 +91,30 @@
         ServiceInfo info;
         bool isScheduler = false;
         const std::set<UpstreamId> *group = nullptr;
-        UpstreamTable book{ZoneName("z"), UpstreamTable::Costs()};
+        UpstreamTable table{ZoneName("z"), UpstreamTable::Costs()};
         UpstreamDirectory directory;
         int placed = 0;
     };
 
     /// An upstream that had just started got 15 calls in its first second, all placed by one
-    /// gateway, to which it was the only one without work; it bears 5.9.
+    /// gateway, because it was the only one without load; it accepts 5.9.
     void emptyUpstreamIsNotFlooded()
     {
-        Chooser scheduler(1, true);
+        Selector scheduler(1, true);
         for (int n = 0; n < 3; ++n) {
             const int cold = scheduler.second(start + n * seconds(1));
             CPPUNIT_ASSERT(cold >= 4 && cold <= rate);
         }
     }
 
-    /// Calls to the cold upstream in each of three seconds, of 30 gateways of which so many believe
-    /// to place for all.
-    static std::vector<int> fleetsSeconds(std::size_t schedulers, const std::set<UpstreamId> *group)
+    /// Calls to the cold upstream in each of three seconds, from 30 gateways of which the first \p
+    /// schedulers place calls for the whole fleet.
+    static std::vector<int> callsPerSecond(std::size_t schedulers,
+                                           const std::set<UpstreamId> *group)
     {
-        std::vector<std::unique_ptr<Chooser>> fleet;
+        std::vector<std::unique_ptr<Selector>> fleet;
         for (std::uint64_t n = 0; n < 30; ++n) {
-            fleet.push_back(std::make_unique<Chooser>(n * 37, n < schedulers));
+            fleet.push_back(std::make_unique<Selector>(n * 37, n < schedulers));
             fleet.back()->group = group;
         }
         std::vector<int> cold(3, 0);
@@ -124,18 +125,17 @@
         return cold;
     }
 
-    /// Two gateways believe to place for all, and 28 choose by themselves; or there is none that
-    /// places for all. What a cold upstream is known to survive is half more than its rate, and
-    /// five.
+    /// Two gateways place calls for the whole fleet while 28 select on their own, or there is no
+    /// scheduler. A cold upstream survives one and a half times its rate plus five calls.
     void fleetStaysWithinTheBound()
     {
         constexpr double bound = rate * 1.5 + 5;
         std::set<UpstreamId> group;
         for (const UpstreamEntry &entry : entries(10, 0, 1))
             group.insert(entry.id);
-        for (const int cold : fleetsSeconds(2, &group))
+        for (const int cold : callsPerSecond(2, &group))
             CPPUNIT_ASSERT(cold <= bound);
-        for (const int cold : fleetsSeconds(0, nullptr)) {
+        for (const int cold : callsPerSecond(0, nullptr)) {
             CPPUNIT_ASSERT(cold <= bound);
             CPPUNIT_ASSERT(cold > 0);
         }
@@ -143,19 +143,19 @@
 
     void warmUpstreamTakesAll()
     {
-        Chooser scheduler(1, true);
+        Selector scheduler(1, true);
         scheduler.second(start);
         CPPUNIT_ASSERT_EQUAL(100, scheduler.second(start + milliseconds(coldMs)));
-        Chooser other(2, false);
+        Selector other(2, false);
         CPPUNIT_ASSERT(other.second(start) <= 1);
-        // The same entry read again says nothing new.
+        // Reading the same entry again changes nothing.
         other.directory.replaceAll(entries(10, coldMs, 5), 6, start + seconds(2));
         CPPUNIT_ASSERT_EQUAL(100, other.second(start + milliseconds(coldMs)));
     }
 
     void coldAgainAtAnyMoment()
     {
-        Chooser scheduler(1, true);
+        Selector scheduler(1, true);
         const Time warm = start + seconds(10);
         scheduler.second(start);
         CPPUNIT_ASSERT_EQUAL(100, scheduler.second(warm));
@@ -164,15 +164,15 @@
         CPPUNIT_ASSERT(cold >= 4 && cold <= rate);
     }
 
-    void serviceWithoutARateIsNotPaced()
+    void serviceWithoutARateIsNotLimited()
     {
-        Chooser scheduler(1, true, 10, 0);
+        Selector scheduler(1, true, 10, 0);
         CPPUNIT_ASSERT_EQUAL(100, scheduler.second(start));
     }
 
-    void nothingIsChosenWhereAllHadTheirShare()
+    void nothingIsSelectedWhenAllHadTheirShare()
     {
-        Chooser scheduler(1, true, 0);
+        Selector scheduler(1, true, 0);
         const int cold = scheduler.second(start);
         CPPUNIT_ASSERT(cold >= 4 && cold <= rate);
         CPPUNIT_ASSERT_EQUAL(cold, scheduler.placed);
--- a/src/libreachlead/upstreamtable_limit_test.cpp
+++ b/src/libreachlead/upstreamtable_limit_test.cpp
@@ -14,16 +14,16 @@
 
 namespace reachlead {
 
-/// An upstream that named a limit, beside others that have more work.
+/// A rate-limited upstream beside others with more load.
 class LimitedUpstreamTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LimitedUpstreamTest);
     CPPUNIT_TEST(ownerUsesMostOfTheLimit);
     CPPUNIT_TEST(fleetOfAnySizeKeepsTheLimit);
     CPPUNIT_TEST(fleetWithoutAnOwnerKeepsTheLimit);
-    CPPUNIT_TEST(unusedPartsAreNotSavedUp);
-    CPPUNIT_TEST(limitOfNothingIsAskedNowAndThen);
-    CPPUNIT_TEST(otherGroupsUpstreamHasOnlyTheSmallPart);
+    CPPUNIT_TEST(unusedSharesDoNotAccumulate);
+    CPPUNIT_TEST(zeroLimitIsProbedOccasionally);
+    CPPUNIT_TEST(upstreamOfAnotherGroupGetsOnlyTheSmallShare);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(1000)};
@@ -31,8 +31,8 @@
     static constexpr Duration tick = milliseconds(50);
     static constexpr CallRate limit{2200};
 
-    /// What an upstream bears in the window.
-    static double most(CallRate rate) { return 1.5 * rate.perSecond() * toSeconds(window) + 5; }
+    /// The number of calls that an upstream accepts in the window.
+    static double maxCalls(CallRate rate) { return 1.5 * rate.perSecond() * toSeconds(window) + 5; }
 
     static std::vector<UpstreamEntry> entries()
     {
@@ -47,35 +47,35 @@
         return all;
     }
 
-    /// One gateway, to which the limited upstream is always the least loaded.
+    /// A gateway for which the limited upstream is always the least loaded.
     struct Gateway
     {
-        Gateway(std::size_t fleet, std::uint64_t number, bool owns) : ownsLimits(owns)
+        Gateway(std::size_t fleet, std::uint64_t number, bool isOwner) : ownsLimits(isOwner)
         {
-            book.setFleet(fleet, number * 0x9E3779B97F4A7C15ULL);
+            table.setFleet(fleet, number * 0x9E3779B97F4A7C15ULL);
             directory.replaceAll(entries(), 1, start);
             const LoadByUpstream load{{UpstreamId("other1"), {60, 0, 0}},
                                       {UpstreamId("other2"), {60, 0, 0}}};
-            book.setPeerLoad(VmName("peer"), {load, 0}, start, std::chrono::hours(10));
+            table.setPeerLoad(VmName("peer"), {load, 0}, start, std::chrono::hours(10));
         }
 
-        /// Places a call; true when it went to the limited upstream.
+        /// Places a call; returns true if it went to the limited upstream.
         bool place(Time now, const std::set<UpstreamId> *group, CallRate rate = limit)
         {
-            book.limits().recordAnswer(UpstreamId("limited"), rate, now, 0);
-            SelectionQuery ask{ServiceName("llm"), "m", {}, nullptr, nullptr};
-            ask.group = group;
-            ask.isGroupScheduler = ownsLimits;
-            ask.ownsLimits = ownsLimits;
-            const auto choice = book.select(ask, directory, now);
-            CPPUNIT_ASSERT(choice.has_value());
-            book.sent(choice->upstream, ask, *choice, now);
-            book.ended(choice->upstream, 0, false);
-            return choice->upstream.text == "limited";
+            table.limits().recordAnswer(UpstreamId("limited"), rate, now, 0);
+            SelectionQuery query{ServiceName("llm"), "m", {}, nullptr, nullptr};
+            query.group = group;
+            query.isGroupScheduler = ownsLimits;
+            query.ownsLimits = ownsLimits;
+            const auto selection = table.select(query, directory, now);
+            CPPUNIT_ASSERT(selection.has_value());
+            table.sent(selection->upstream, query, *selection, now);
+            table.ended(selection->upstream, 0, false);
+            return selection->upstream.text == "limited";
         }
 
         bool ownsLimits;
-        UpstreamTable book{ZoneName("z"), UpstreamTable::Costs()};
+        UpstreamTable table{ZoneName("z"), UpstreamTable::Costs()};
         UpstreamDirectory directory;
     };
 
@@ -86,91 +86,95 @@
         return &all;
     }
 
-    /// When the limited upstream got calls, where each gateway has one at each tick.
+    /// Arrival times at the limited upstream if every gateway places a call per tick.
     static std::vector<Time> arrivals(std::size_t gateways, bool hasOwner,
-                                      const std::set<UpstreamId> *of, Duration span,
+                                      const std::set<UpstreamId> *selectorGroup, Duration duration,
                                       CallRate rate = limit)
     {
         std::vector<std::unique_ptr<Gateway>> fleet;
         fleet.reserve(gateways);
         for (std::size_t n = 0; n < gateways; ++n)
             fleet.push_back(std::make_unique<Gateway>(gateways, n, hasOwner && n == 0));
-        std::vector<Time> at;
-        for (Time now = start; now < start + span; now += tick) {
+        std::vector<Time> arrivalTimes;
+        for (Time now = start; now < start + duration; now += tick) {
             for (const auto &it : fleet) {
-                if (it->place(now, of, rate))
-                    at.push_back(now);
+                if (it->place(now, selectorGroup, rate))
+                    arrivalTimes.push_back(now);
             }
         }
-        return at;
+        return arrivalTimes;
     }
 
-    static double mostInAWindow(const std::vector<Time> &at)
+    static double maxCallsPerWindow(const std::vector<Time> &arrivalTimes)
     {
-        std::ptrdiff_t found = 0;
-        for (auto it = at.begin(); it != at.end(); ++it)
-            found = std::max(found, std::lower_bound(it, at.end(), *it + window) - it);
-        return static_cast<double>(found);
+        std::ptrdiff_t peak = 0;
+        for (auto it = arrivalTimes.begin(); it != arrivalTimes.end(); ++it)
+            peak = std::max(peak, std::lower_bound(it, arrivalTimes.end(), *it + window) - it);
+        return static_cast<double>(peak);
     }
 
     void ownerUsesMostOfTheLimit()
     {
-        const auto at = arrivals(1, true, group(), seconds(20));
-        CPPUNIT_ASSERT(static_cast<double>(at.size()) >= 0.7 * 20 * limit.perSecond());
-        CPPUNIT_ASSERT(mostInAWindow(at) <= most(limit));
+        const auto arrivalTimes = arrivals(1, true, group(), seconds(20));
+        CPPUNIT_ASSERT(static_cast<double>(arrivalTimes.size()) >= 0.7 * 20 * limit.perSecond());
+        CPPUNIT_ASSERT(maxCallsPerWindow(arrivalTimes) <= maxCalls(limit));
     }
 
     void fleetOfAnySizeKeepsTheLimit()
     {
         for (const std::size_t gateways : {3U, 30U, 300U, 1000U}) {
             for (const CallRate rate : {CallRate{500}, limit, CallRate{20'000}}) {
-                const auto at = arrivals(gateways, true, group(), seconds(9), rate);
-                const std::string what = fmt::format("{} gateways, {} calls a second: {}", gateways,
-                                                     rate.perSecond(), mostInAWindow(at));
-                CPPUNIT_ASSERT_MESSAGE(what, mostInAWindow(at) <= most(rate));
-                CPPUNIT_ASSERT_MESSAGE(
-                    what, static_cast<double>(at.size()) >= 0.6 * 9 * rate.perSecond());
+                const auto arrivalTimes = arrivals(gateways, true, group(), seconds(9), rate);
+                const std::string message =
+                    fmt::format("{} gateways, {} calls a second: {}", gateways, rate.perSecond(),
+                                maxCallsPerWindow(arrivalTimes));
+                CPPUNIT_ASSERT_MESSAGE(message, maxCallsPerWindow(arrivalTimes) <= maxCalls(rate));
+                CPPUNIT_ASSERT_MESSAGE(message,
+                                       static_cast<double>(arrivalTimes.size())
+                                           >= 0.6 * 9 * rate.perSecond());
             }
         }
     }
 
     void fleetWithoutAnOwnerKeepsTheLimit()
     {
-        for (const auto *of : {group(), static_cast<const std::set<UpstreamId> *>(nullptr)}) {
+        for (const auto *selectorGroup :
+             {group(), static_cast<const std::set<UpstreamId> *>(nullptr)}) {
             for (const std::size_t gateways : {3U, 300U, 1000U}) {
-                const auto at = arrivals(gateways, false, of, seconds(9));
-                const std::string what = fmt::format("{}: {}", gateways, mostInAWindow(at));
-                CPPUNIT_ASSERT_MESSAGE(what, mostInAWindow(at) <= most(limit));
+                const auto arrivalTimes = arrivals(gateways, false, selectorGroup, seconds(9));
+                const std::string message =
+                    fmt::format("{}: {}", gateways, maxCallsPerWindow(arrivalTimes));
+                CPPUNIT_ASSERT_MESSAGE(message, maxCallsPerWindow(arrivalTimes) <= maxCalls(limit));
             }
         }
     }
 
-    /// The gateway that owned the limit has ended after a minute, and each of the others has calls
-    /// that it never sent there before.
-    void unusedPartsAreNotSavedUp()
+    /// The gateway that owned the limit has exited, and the others have calls although they sent
+    /// none to the upstream before.
+    void unusedSharesDoNotAccumulate()
     {
         std::vector<std::unique_ptr<Gateway>> fleet;
         fleet.reserve(999);
         for (std::size_t n = 1; n < 1000; ++n)
             fleet.push_back(std::make_unique<Gateway>(1000, n, false));
-        std::vector<Time> at;
+        std::vector<Time> arrivalTimes;
         const Time later = start + std::chrono::hours(2);
         for (Time now = later; now < later + window; now += tick) {
             for (const auto &it : fleet) {
                 if (it->place(now, group()))
-                    at.push_back(now);
+                    arrivalTimes.push_back(now);
             }
         }
-        CPPUNIT_ASSERT(mostInAWindow(at) <= most(limit));
+        CPPUNIT_ASSERT(maxCallsPerWindow(arrivalTimes) <= maxCalls(limit));
     }
 
-    void limitOfNothingIsAskedNowAndThen()
+    void zeroLimitIsProbedOccasionally()
     {
-        const auto at = arrivals(1, true, group(), seconds(60), CallRate{0});
-        CPPUNIT_ASSERT(at.size() >= 3 && at.size() <= 6);
+        const auto arrivalTimes = arrivals(1, true, group(), seconds(60), CallRate{0});
+        CPPUNIT_ASSERT(arrivalTimes.size() >= 3 && arrivalTimes.size() <= 6);
     }
 
-    void otherGroupsUpstreamHasOnlyTheSmallPart()
+    void upstreamOfAnotherGroupGetsOnlyTheSmallShare()
     {
         static const std::set<UpstreamId> others{UpstreamId("other1"), UpstreamId("other2")};
         std::size_t sent = 0;
@@ -178,7 +182,7 @@
         for (Time now = start; now < start + seconds(20); now += tick) {
             LoadByUpstream busy{{UpstreamId("other1"), {600, 0, 0}},
                                 {UpstreamId("other2"), {600, 0, 0}}};
-            owner.book.setPeerLoad(VmName("peer"), {busy, 0}, now);
+            owner.table.setPeerLoad(VmName("peer"), {busy, 0}, now);
             sent += owner.place(now, &others) ? 1U : 0U;
         }
         CPPUNIT_ASSERT(sent <= 1);
--- a/src/libreachlead/upstreamtable_test.cpp
+++ b/src/libreachlead/upstreamtable_test.cpp
@@ -13,33 +13,33 @@
 
 namespace reachlead {
 
-/// Which upstream a call is placed on, by what this gateway and its peers know.
-class UpstreamBookTest : public CppUnit::TestFixture
+/// Selection of an upstream from what this gateway and its peers know.
+class UpstreamTableTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(UpstreamBookTest);
-    CPPUNIT_TEST(gatewaysAgreeOnTheHomeOfAPrompt);
+    CPPUNIT_TEST_SUITE(UpstreamTableTest);
+    CPPUNIT_TEST(gatewaysAgreeOnThePreferredUpstream);
     CPPUNIT_TEST(lossOfAnUpstreamMovesOnlyItsPrompts);
-    CPPUNIT_TEST(promptGoesHomeAcrossTheZoneBorder);
-    CPPUNIT_TEST(backlogAtHomeSpills);
+    CPPUNIT_TEST(promptGoesToItsPreferredUpstreamAcrossZones);
+    CPPUNIT_TEST(backlogAtThePreferredUpstreamSpills);
     CPPUNIT_TEST(plainCallsStayInTheZone);
-    CPPUNIT_TEST(leavingAndTriedAreNotTaken);
+    CPPUNIT_TEST(leavingAndTriedAreNotSelected);
     CPPUNIT_TEST(failingUpstreamIsAvoidedAndTriedAgain);
     CPPUNIT_TEST(allFailingIsBetterThanNone);
     CPPUNIT_TEST(loadOfPeersCountsWhileItIsFresh);
     CPPUNIT_TEST(endedCallsLeaveNoLoad);
     CPPUNIT_TEST(loadsOfPeersAddUp);
-    CPPUNIT_TEST(shortPromptsKeepToQuietEngines);
-    CPPUNIT_TEST(loadedQuietEngineSpills);
-    CPPUNIT_TEST(everyZoneHasItsQuietEngine);
-    CPPUNIT_TEST(baselinesChooseAsTheirNamesSay);
-    CPPUNIT_TEST(promptFollowsWhatPeersTold);
-    CPPUNIT_TEST(spilledPromptIsFetchedFromItsHolder);
-    CPPUNIT_TEST(nothingIsFetchedBeforeItWasRead);
-    CPPUNIT_TEST(coldPromptCountsAsUnread);
+    CPPUNIT_TEST(shortPromptsKeepToDedicatedEngines);
+    CPPUNIT_TEST(loadedDedicatedEngineSpills);
+    CPPUNIT_TEST(everyZoneHasItsDedicatedEngine);
+    CPPUNIT_TEST(baselinesSelectAsNamed);
+    CPPUNIT_TEST(promptFollowsPeerReports);
+    CPPUNIT_TEST(spilledPromptIsFetchedFromTheCache);
+    CPPUNIT_TEST(nothingIsFetchedBeforePrefill);
+    CPPUNIT_TEST(coldPromptCountsAsPrefill);
     CPPUNIT_TEST(fewFirstPartsDoNotDrawAllPrompts);
-    CPPUNIT_TEST(burstOfShortPromptsFindsPlaces);
-    CPPUNIT_TEST(manyChunksAreNotReadBesideManyStreams);
-    CPPUNIT_TEST(notesAreToldForAWhileAndBounded);
+    CPPUNIT_TEST(burstOfShortPromptsFindsSlots);
+    CPPUNIT_TEST(manyChunksAreNotPrefilledBesideManyStreams);
+    CPPUNIT_TEST(hintsAreSentForALimitedTimeAndBounded);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
@@ -62,7 +62,7 @@
         return made;
     }
 
-    static UpstreamTable book(const std::string &zone = "z0")
+    static UpstreamTable makeTable(const std::string &zone = "z0")
     {
         return {ZoneName(zone), UpstreamTable::Costs()};
     }
@@ -72,126 +72,127 @@
         return {{subject, 13'000}, {subject * 7919 + 1, 3'000}};
     }
 
-    static SelectionQuery ask(const std::vector<PromptPart> &prompt)
+    static SelectionQuery query(const std::vector<PromptPart> &prompt)
     {
         return {ServiceName("llm"), "m", prompt, nullptr};
     }
 
-    void gatewaysAgreeOnTheHomeOfAPrompt()
+    void gatewaysAgreeOnThePreferredUpstream()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book("z0");
-        UpstreamTable two = book("z2");
+        UpstreamTable table = makeTable("z0");
+        UpstreamTable otherTable = makeTable("z2");
         std::set<UpstreamId> used;
         for (std::uint64_t subject = 1; subject <= 200; ++subject) {
             const auto parts = prompt(subject);
-            const auto first = one.select(ask(parts), upstreams, start);
-            const auto second = two.select(ask(parts), upstreams, start);
+            const auto first = table.select(query(parts), upstreams, start);
+            const auto second = otherTable.select(query(parts), upstreams, start);
             CPPUNIT_ASSERT(first->isPreferred && second->isPreferred);
             CPPUNIT_ASSERT_EQUAL(first->upstream.text, second->upstream.text);
             used.insert(first->upstream);
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{8}, used.size()); // all but the quiet one
+        CPPUNIT_ASSERT_EQUAL(std::size_t{8}, used.size()); // all but the dedicated one
     }
 
     void lossOfAnUpstreamMovesOnlyItsPrompts()
     {
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         for (std::uint64_t subject = 1; subject <= 200; ++subject) {
             const auto parts = prompt(subject);
-            const auto before = one.select(ask(parts), directory(9), start);
-            const auto after = one.select(ask(parts), directory(9, 4), start);
+            const auto before = table.select(query(parts), directory(9), start);
+            const auto after = table.select(query(parts), directory(9, 4), start);
             if (before->upstream != UpstreamId("u4"))
                 CPPUNIT_ASSERT_EQUAL(before->upstream.text, after->upstream.text);
         }
     }
 
-    void promptGoesHomeAcrossTheZoneBorder()
+    void promptGoesToItsPreferredUpstreamAcrossZones()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book("z0");
+        UpstreamTable table = makeTable("z0");
         unsigned across = 0;
         for (std::uint64_t subject = 1; subject <= 90; ++subject) {
             const auto parts = prompt(subject);
-            const auto choice = one.select(ask(parts), upstreams, start);
-            across += upstreams.find(choice->upstream)->zone != ZoneName("z0") ? 1 : 0;
+            const auto selection = table.select(query(parts), upstreams, start);
+            across += upstreams.find(selection->upstream)->zone != ZoneName("z0") ? 1 : 0;
         }
         CPPUNIT_ASSERT(across > 45);
     }
 
-    void backlogAtHomeSpills()
+    void backlogAtThePreferredUpstreamSpills()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const auto parts = prompt(1);
-        const auto home = one.select(ask(parts), upstreams, start);
-        Selection heavy = *home;
-        heavy.prefillTokens = 400'000; // some ten seconds of reading
-        one.sent(home->upstream, ask(prompt(2)), heavy, start);
-        const auto spilled = one.select(ask(parts), upstreams, start);
-        CPPUNIT_ASSERT(spilled->upstream != home->upstream);
+        const auto preferred = table.select(query(parts), upstreams, start);
+        Selection heavy = *preferred;
+        heavy.prefillTokens = 400'000; // about ten seconds of prefill
+        table.sent(preferred->upstream, query(prompt(2)), heavy, start);
+        const auto spilled = table.select(query(parts), upstreams, start);
+        CPPUNIT_ASSERT(spilled->upstream != preferred->upstream);
     }
 
     void plainCallsStayInTheZone()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book("z1");
-        const auto choice = one.select(ask({}), upstreams, start);
-        CPPUNIT_ASSERT_EQUAL(std::string("z1"), upstreams.find(choice->upstream)->zone.text);
+        UpstreamTable table = makeTable("z1");
+        const auto selection = table.select(query({}), upstreams, start);
+        CPPUNIT_ASSERT_EQUAL(std::string("z1"), upstreams.find(selection->upstream)->zone.text);
     }
 
-    void leavingAndTriedAreNotTaken()
+    void leavingAndTriedAreNotSelected()
     {
         UpstreamDirectory upstreams = directory(2);
         UpstreamEntry leaving = *upstreams.find(UpstreamId("u0"));
         leaving.leaving = true;
         upstreams.applyChanges({{leaving, false}}, 2, start);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         CPPUNIT_ASSERT_EQUAL(std::string("u1"),
-                             one.select(ask({}), upstreams, start)->upstream.text);
+                             table.select(query({}), upstreams, start)->upstream.text);
         const std::set<UpstreamId> tried{UpstreamId("u1")};
-        SelectionQuery again = ask({});
-        again.tried = &tried;
-        CPPUNIT_ASSERT(!one.select(again, upstreams, start));
+        SelectionQuery retry = query({});
+        retry.tried = &tried;
+        CPPUNIT_ASSERT(!table.select(retry, upstreams, start));
     }
 
     void failingUpstreamIsAvoidedAndTriedAgain()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const auto parts = prompt(1);
-        const UpstreamId home = one.select(ask(parts), upstreams, start)->upstream;
+        const UpstreamId preferred = table.select(query(parts), upstreams, start)->upstream;
         for (unsigned n = 0; n < Circuit::failuresToOpen; ++n)
-            one.failed(home, start);
-        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream != home);
-        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start + seconds(1))->upstream == home);
+            table.failed(preferred, start);
+        CPPUNIT_ASSERT(table.select(query(parts), upstreams, start)->upstream != preferred);
+        CPPUNIT_ASSERT(table.select(query(parts), upstreams, start + seconds(1))->upstream
+                       == preferred);
     }
 
     void allFailingIsBetterThanNone()
     {
         const UpstreamDirectory upstreams = directory(2);
-        UpstreamTable one = book();
-        one.select(ask({}), upstreams, start); // makes the records
+        UpstreamTable table = makeTable();
+        table.select(query({}), upstreams, start); // creates the records
         for (unsigned n = 0; n < Circuit::failuresToOpen; ++n) {
-            one.failed(UpstreamId("u0"), start);
-            one.failed(UpstreamId("u1"), start);
+            table.failed(UpstreamId("u0"), start);
+            table.failed(UpstreamId("u1"), start);
         }
-        CPPUNIT_ASSERT(one.select(ask({}), upstreams, start));
+        CPPUNIT_ASSERT(table.select(query({}), upstreams, start));
     }
 
     void loadOfPeersCountsWhileItIsFresh()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const auto parts = prompt(1);
-        const UpstreamId home = one.select(ask(parts), upstreams, start)->upstream;
-        one.setPeerLoad(VmName("peer"), {{{home, {10, 400'000, 0}}}}, start);
-        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, start)->upstream != home);
+        const UpstreamId preferred = table.select(query(parts), upstreams, start)->upstream;
+        table.setPeerLoad(VmName("peer"), {{{preferred, {10, 400'000, 0}}}}, start);
+        CPPUNIT_ASSERT(table.select(query(parts), upstreams, start)->upstream != preferred);
         const Time later = start + UpstreamTable::peerLoadLifetime + milliseconds(1);
-        CPPUNIT_ASSERT(one.select(ask(parts), upstreams, later)->upstream == home);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.peerCount()); // what is too old is forgotten
-        one.setPeerLoad(VmName("other"), {}, later);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.peerCount());
+        CPPUNIT_ASSERT(table.select(query(parts), upstreams, later)->upstream == preferred);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table.peerCount()); // expired loads are removed
+        table.setPeerLoad(VmName("other"), {}, later);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.peerCount());
     }
 
     static std::vector<PromptPart> shortPrompt(std::uint64_t subject)
@@ -199,105 +200,106 @@
         return {{subject, 350}, {subject * 7919 + 1, 1000}};
     }
 
-    void shortPromptsKeepToQuietEngines()
+    void shortPromptsKeepToDedicatedEngines()
     {
         const UpstreamDirectory upstreams = directory(10);
-        UpstreamTable one = book("z0");
-        UpstreamTable two = book("z1");
+        UpstreamTable table = makeTable("z0");
+        UpstreamTable otherTable = makeTable("z1");
         std::set<UpstreamId> forShort;
         std::set<UpstreamId> forLong;
         for (std::uint64_t subject = 1; subject <= 100; ++subject) {
-            const auto brief = shortPrompt(subject);
+            const auto shortParts = shortPrompt(subject);
             const auto parts = prompt(subject);
-            forShort.insert(one.select(ask(brief), upstreams, start)->upstream);
-            forShort.insert(two.select(ask(brief), upstreams, start)->upstream);
-            forLong.insert(one.select(ask(parts), upstreams, start)->upstream);
-            forLong.insert(two.select(ask(parts), upstreams, start)->upstream);
+            forShort.insert(table.select(query(shortParts), upstreams, start)->upstream);
+            forShort.insert(otherTable.select(query(shortParts), upstreams, start)->upstream);
+            forLong.insert(table.select(query(parts), upstreams, start)->upstream);
+            forLong.insert(otherTable.select(query(parts), upstreams, start)->upstream);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, forShort.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, forLong.size());
         CPPUNIT_ASSERT(!forLong.contains(*forShort.begin()));
     }
 
-    void loadedQuietEngineSpills()
+    void loadedDedicatedEngineSpills()
     {
         const UpstreamDirectory upstreams = directory(10);
-        UpstreamTable one = book();
-        const auto brief = shortPrompt(1);
-        const auto quiet = one.select(ask(brief), upstreams, start);
+        UpstreamTable table = makeTable();
+        const auto shortParts = shortPrompt(1);
+        const auto dedicated = table.select(query(shortParts), upstreams, start);
         for (int n = 0; n < 200; ++n)
-            one.sent(quiet->upstream, ask(brief), *quiet, start);
-        CPPUNIT_ASSERT(one.select(ask(brief), upstreams, start)->upstream != quiet->upstream);
+            table.sent(dedicated->upstream, query(shortParts), *dedicated, start);
+        CPPUNIT_ASSERT(table.select(query(shortParts), upstreams, start)->upstream
+                       != dedicated->upstream);
     }
 
-    static UpstreamTable bookOf(UpstreamTable::Strategy strategy)
+    static UpstreamTable makeTableFor(UpstreamTable::Strategy strategy)
     {
         UpstreamTable::Costs costs;
         costs.strategy = strategy;
         return {ZoneName("z0"), costs};
     }
 
-    void baselinesChooseAsTheirNamesSay()
+    void baselinesSelectAsNamed()
     {
         const UpstreamDirectory upstreams = directory(9);
         const auto parts = prompt(1);
-        UpstreamTable home = bookOf(UpstreamTable::Strategy::AffinityOnly);
-        UpstreamTable least = bookOf(UpstreamTable::Strategy::LeastLoaded);
-        UpstreamTable inTurn = bookOf(UpstreamTable::Strategy::RoundRobin);
-        std::set<UpstreamId> byHome;
+        UpstreamTable affinity = makeTableFor(UpstreamTable::Strategy::AffinityOnly);
+        UpstreamTable leastLoaded = makeTableFor(UpstreamTable::Strategy::LeastLoaded);
+        UpstreamTable roundRobin = makeTableFor(UpstreamTable::Strategy::RoundRobin);
+        std::set<UpstreamId> byAffinity;
         std::set<UpstreamId> byLoad;
         std::set<UpstreamId> byTurn;
-        const auto place = [&](UpstreamTable *one, std::set<UpstreamId> *used) {
-            Selection choice = *one->select(ask(parts), upstreams, start);
-            choice.prefillTokens = 400'000;
-            one->sent(choice.upstream, ask(parts), choice, start);
-            used->insert(choice.upstream);
+        const auto place = [&](UpstreamTable *table, std::set<UpstreamId> *used) {
+            Selection selection = *table->select(query(parts), upstreams, start);
+            selection.prefillTokens = 400'000;
+            table->sent(selection.upstream, query(parts), selection, start);
+            used->insert(selection.upstream);
         };
         for (std::size_t n = 0; n < upstreams.entries().size(); ++n) {
-            place(&home, &byHome);
-            place(&least, &byLoad);
-            place(&inTurn, &byTurn);
+            place(&affinity, &byAffinity);
+            place(&leastLoaded, &byLoad);
+            place(&roundRobin, &byTurn);
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, byHome.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, byAffinity.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, byLoad.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, byTurn.size());
     }
 
-    void everyZoneHasItsQuietEngine()
+    void everyZoneHasItsDedicatedEngine()
     {
-        const UpstreamDirectory upstreams = directory(30); // three quiet ones
+        const UpstreamDirectory upstreams = directory(30); // three dedicated ones
         for (const char *zone : {"z0", "z1", "z2"}) {
-            UpstreamTable one = book(zone);
+            UpstreamTable table = makeTable(zone);
             for (std::uint64_t subject = 1; subject <= 50; ++subject) {
-                const auto brief = shortPrompt(subject);
-                const auto choice = one.select(ask(brief), upstreams, start);
-                const UpstreamEntry &taken = *upstreams.find(choice->upstream);
+                const auto shortParts = shortPrompt(subject);
+                const auto selection = table.select(query(shortParts), upstreams, start);
+                const UpstreamEntry &taken = *upstreams.find(selection->upstream);
                 CPPUNIT_ASSERT_EQUAL(std::string(zone), taken.zone.text);
             }
         }
     }
 
-    /// An upstream that is not the home of a prompt, and not kept quiet.
-    static UpstreamId otherThan(const UpstreamId &home)
+    /// An upstream that is neither the preferred one of a prompt nor dedicated.
+    static UpstreamId otherUpstream(const UpstreamId &preferred)
     {
-        return UpstreamId(home == UpstreamId("u1") ? "u2" : "u1");
+        return UpstreamId(preferred == UpstreamId("u1") ? "u2" : "u1");
     }
 
-    void promptFollowsWhatPeersTold()
+    void promptFollowsPeerReports()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable teller = book();
-        UpstreamTable hearer = book();
+        UpstreamTable sender = makeTable();
+        UpstreamTable receiver = makeTable();
         const auto parts = prompt(1);
-        Selection choice = *hearer.select(ask(parts), upstreams, start);
-        const UpstreamId home = choice.upstream;
-        choice.upstream = otherThan(home);
-        teller.sent(choice.upstream, ask(parts), choice, start);
-        const std::vector<PromptHint> notes = teller.recentHints(start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, notes.size()); // the last part is no one else's
-        hearer.addHints(notes, start);
-        CPPUNIT_ASSERT_EQUAL(choice.upstream.text,
-                             hearer.select(ask(parts), upstreams, start)->upstream.text);
+        Selection selection = *receiver.select(query(parts), upstreams, start);
+        const UpstreamId preferred = selection.upstream;
+        selection.upstream = otherUpstream(preferred);
+        sender.sent(selection.upstream, query(parts), selection, start);
+        const std::vector<PromptHint> hints = sender.recentHints(start);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hints.size()); // the last part is not shared
+        receiver.addHints(hints, start);
+        CPPUNIT_ASSERT_EQUAL(selection.upstream.text,
+                             receiver.select(query(parts), upstreams, start)->upstream.text);
     }
 
     static ServiceInfo fetchable()
@@ -308,86 +310,89 @@
         return info;
     }
 
-    /// Until the holder below has read the prompt, at the pace that is believed at first.
-    static Duration readTime()
+    /// Prefill time of the prompt below, at the initial rate.
+    static Duration prefillTime()
     {
         return fromSeconds(70'000 / UpstreamTable::Costs().tokensPerMs / 1000.0);
     }
 
-    /// The choice for a prompt whose holder is behind by ten seconds and more since it read it.
-    static Selection choiceBesideLoadedHolder(Duration sinceHeld, UpstreamId *holder)
+    /// The selection for a prompt whose upstream is behind by ten seconds and more, \p sinceSent
+    /// after the prompt was sent there.
+    static Selection selectionBesideLoadedUpstream(Duration sinceSent, UpstreamId *cachedAt)
     {
         const UpstreamDirectory upstreams = directory(9);
         const ServiceInfo info = fetchable();
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const auto parts = prompt(1);
-        SelectionQuery wanted = ask(parts);
-        wanted.serviceInfo = &info;
-        Selection choice = *one.select(wanted, upstreams, start);
-        *holder = choice.upstream;
-        choice.prefillTokens = 400'000;
-        choice.tokensToFirstEvent = 70'000;
-        one.sent(choice.upstream, wanted, choice, start);
-        return *one.select(wanted, upstreams, start + sinceHeld);
-    }
-
-    void spilledPromptIsFetchedFromItsHolder()
-    {
-        UpstreamId holder;
-        const Selection spilled = choiceBesideLoadedHolder(readTime() + milliseconds(1), &holder);
-        CPPUNIT_ASSERT(spilled.upstream != holder);
-        CPPUNIT_ASSERT(spilled.fetchFrom == holder);
+        SelectionQuery fetchQuery = query(parts);
+        fetchQuery.serviceInfo = &info;
+        Selection selection = *table.select(fetchQuery, upstreams, start);
+        *cachedAt = selection.upstream;
+        selection.prefillTokens = 400'000;
+        selection.tokensToFirstEvent = 70'000;
+        table.sent(selection.upstream, fetchQuery, selection, start);
+        return *table.select(fetchQuery, upstreams, start + sinceSent);
+    }
+
+    void spilledPromptIsFetchedFromTheCache()
+    {
+        UpstreamId cachedAt;
+        const Selection spilled =
+            selectionBesideLoadedUpstream(prefillTime() + milliseconds(1), &cachedAt);
+        CPPUNIT_ASSERT(spilled.upstream != cachedAt);
+        CPPUNIT_ASSERT(spilled.fetchFrom == cachedAt);
         CPPUNIT_ASSERT_EQUAL(TokenCount{3'000}, spilled.prefillTokens);
     }
 
-    void nothingIsFetchedBeforeItWasRead()
+    void nothingIsFetchedBeforePrefill()
     {
-        UpstreamId holder;
-        const Selection spilled = choiceBesideLoadedHolder(readTime() - milliseconds(1), &holder);
-        CPPUNIT_ASSERT(spilled.upstream != holder);
+        UpstreamId cachedAt;
+        const Selection spilled =
+            selectionBesideLoadedUpstream(prefillTime() - milliseconds(1), &cachedAt);
+        CPPUNIT_ASSERT(spilled.upstream != cachedAt);
         CPPUNIT_ASSERT(!spilled.fetchFrom);
         CPPUNIT_ASSERT_EQUAL(TokenCount{16'000}, spilled.prefillTokens);
     }
 
-    void coldPromptCountsAsUnread()
+    void coldPromptCountsAsPrefill()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const auto parts = prompt(1);
-        const Selection cold = *one.select(ask(parts), upstreams, start);
+        const Selection cold = *table.select(query(parts), upstreams, start);
         CPPUNIT_ASSERT(cold.isPreferred);
         CPPUNIT_ASSERT_EQUAL(TokenCount{16'000}, cold.prefillTokens);
-        one.sent(cold.upstream, ask(parts), cold, start);
+        table.sent(cold.upstream, query(parts), cold, start);
         const std::vector<PromptPart> next{parts.front(), {4711, 2'000}};
-        const Selection warm = *one.select(ask(next), upstreams, start);
+        const Selection warm = *table.select(query(next), upstreams, start);
         CPPUNIT_ASSERT_EQUAL(cold.upstream.text, warm.upstream.text);
         CPPUNIT_ASSERT_EQUAL(TokenCount{2'000}, warm.prefillTokens);
     }
 
-    /// Prompts of 444 subjects behind one of four first parts, on 55 engines: no engine stands idle
-    /// because it never got a first part, and none gets several times its part.
+    /// Prompts on 444 subjects, each after one of four first parts, on 55 engines: no engine stays
+    /// idle because it never got a first part, and none gets several times its share.
     void fewFirstPartsDoNotDrawAllPrompts()
     {
         const UpstreamDirectory upstreams = directory(55);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         std::map<UpstreamId, unsigned> placed;
         for (std::uint64_t n = 0; n < 2000; ++n) {
             const std::uint64_t subject = n * 7919 % 444;
             const std::vector<PromptPart> parts{
                 {subject % 4 + 1, 2520}, {subject + 100, 3780}, {n + 1000, 2890}};
-            const Selection choice = *one.select(ask(parts), upstreams, start);
-            one.sent(choice.upstream, ask(parts), choice, start);
-            one.firstEvent(choice.upstream, choice.prefillTokens);
-            one.ended(choice.upstream, 0, choice.isShortPrompt);
-            ++placed[choice.upstream];
+            const Selection selection = *table.select(query(parts), upstreams, start);
+            table.sent(selection.upstream, query(parts), selection, start);
+            table.firstEvent(selection.upstream, selection.prefillTokens);
+            table.ended(selection.upstream, 0, selection.isShortPrompt);
+            ++placed[selection.upstream];
         }
-        const auto most = std::ranges::max(placed | std::views::values);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{49}, placed.size()); // all but the quiet ones
-        CPPUNIT_ASSERT(most < 2000 / 49 * 5 / 2);
+        const auto busiest = std::ranges::max(placed | std::views::values);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{49}, placed.size()); // all but the dedicated ones
+        CPPUNIT_ASSERT(busiest < 2000 / 49 * 5 / 2);
     }
 
-    /// 400 streams of short prompts on 55 engines of 32 places: none waits for a place.
-    void burstOfShortPromptsFindsPlaces()
+    /// 400 streams of short prompts on 55 engines with 32 slots: none waits for a slot.
+    void burstOfShortPromptsFindsSlots()
     {
         UpstreamDirectory upstreams = directory(55);
         std::vector<UpstreamChange> changes;
@@ -397,94 +402,96 @@
             changes.back().entry.revision = 2;
         }
         upstreams.applyChanges(changes, 2, start);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         Time now = start;
         for (std::uint64_t n = 0; n < 400; ++n) {
             const auto parts = shortPrompt(n * 7919 % 939 + 1);
-            const Selection choice = *one.select(ask(parts), upstreams, now);
-            one.sent(choice.upstream, ask(parts), choice, now);
+            const Selection selection = *table.select(query(parts), upstreams, now);
+            table.sent(selection.upstream, query(parts), selection, now);
             now += milliseconds(5);
         }
-        for (const auto &[id, load] : one.ownLoad())
+        for (const auto &[id, load] : table.ownLoad())
             CPPUNIT_ASSERT(load.running <= 32);
-        CPPUNIT_ASSERT(one.ownLoad().size() >= 400 / 32);
+        CPPUNIT_ASSERT(table.ownLoad().size() >= 400 / 32);
     }
 
-    /// Two quiet engines with 50 streams each, and a burst of short prompts of one subject: they
-    /// leave its holder before it has to read many chunks in a row beside the streams.
-    void manyChunksAreNotReadBesideManyStreams()
+    /// Two dedicated engines with 50 streams each, and a burst of short prompts on one subject: the
+    /// prompts leave the engine that has the subject cached before it must prefill many chunks in a
+    /// row beside its streams.
+    void manyChunksAreNotPrefilledBesideManyStreams()
     {
         const UpstreamDirectory upstreams = directory(20);
-        UpstreamTable one = book();
-        std::set<UpstreamId> quiet;
+        UpstreamTable table = makeTable();
+        std::set<UpstreamId> dedicated;
         for (std::uint64_t subject = 1; subject <= 100; ++subject) {
             const std::vector<PromptPart> parts{{subject, 200}, {subject + 1000, 400}};
-            const Selection choice = *one.select(ask(parts), upstreams, start);
-            one.sent(choice.upstream, ask(parts), choice, start);
-            one.firstEvent(choice.upstream, choice.prefillTokens);
-            quiet.insert(choice.upstream);
+            const Selection selection = *table.select(query(parts), upstreams, start);
+            table.sent(selection.upstream, query(parts), selection, start);
+            table.firstEvent(selection.upstream, selection.prefillTokens);
+            dedicated.insert(selection.upstream);
         }
-        std::map<UpstreamId, TokenCount> unread;
+        std::map<UpstreamId, TokenCount> prefilled;
         for (std::uint64_t n = 0; n < 6; ++n) {
             const std::vector<PromptPart> parts{{7777, 1500}, {n + 5000, 1200}};
-            const Selection choice = *one.select(ask(parts), upstreams, start);
-            one.sent(choice.upstream, ask(parts), choice, start);
-            unread[choice.upstream] += choice.prefillTokens;
+            const Selection selection = *table.select(query(parts), upstreams, start);
+            table.sent(selection.upstream, query(parts), selection, start);
+            prefilled[selection.upstream] += selection.prefillTokens;
         }
-        for (const TokenCount tokens : unread | std::views::values)
+        for (const TokenCount tokens : prefilled | std::views::values)
             CPPUNIT_ASSERT(tokens <= 3 * UpstreamTable::Costs().maxShortPromptTokens / 2);
     }
 
-    void notesAreToldForAWhileAndBounded()
+    void hintsAreSentForALimitedTimeAndBounded()
     {
         const UpstreamDirectory upstreams = directory(9);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         for (std::uint64_t subject = 1; subject <= 2 * UpstreamTable::maxHints; ++subject) {
             const auto parts = prompt(subject);
-            const Selection choice = *one.select(ask(parts), upstreams, start);
-            one.sent(choice.upstream, ask(parts), choice, start);
+            const Selection selection = *table.select(query(parts), upstreams, start);
+            table.sent(selection.upstream, query(parts), selection, start);
         }
-        CPPUNIT_ASSERT_EQUAL(UpstreamTable::maxHints, one.recentHints(start).size());
+        CPPUNIT_ASSERT_EQUAL(UpstreamTable::maxHints, table.recentHints(start).size());
         CPPUNIT_ASSERT_EQUAL(UpstreamTable::maxHints,
-                             one.recentHints(start + UpstreamTable::hintWindow).size());
+                             table.recentHints(start + UpstreamTable::hintWindow).size());
         const Time later = start + UpstreamTable::hintWindow + milliseconds(1);
-        CPPUNIT_ASSERT(one.recentHints(later).empty());
+        CPPUNIT_ASSERT(table.recentHints(later).empty());
     }
 
     void endedCallsLeaveNoLoad()
     {
         const UpstreamDirectory upstreams = directory(3);
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const auto parts = prompt(1);
-        const auto choice = one.select(ask(parts), upstreams, start);
-        one.sent(choice->upstream, ask(parts), *choice, start);
-        one.sent(choice->upstream, ask(parts), *choice, start);
-        CPPUNIT_ASSERT_EQUAL(2U, one.ownLoad().at(choice->upstream).running);
-        one.firstEvent(choice->upstream, choice->prefillTokens);
-        one.ended(choice->upstream, 0, choice->isShortPrompt);
-        one.ended(choice->upstream, choice->prefillTokens, choice->isShortPrompt);
-        CPPUNIT_ASSERT(one.ownLoad().empty());
+        const auto selection = table.select(query(parts), upstreams, start);
+        table.sent(selection->upstream, query(parts), *selection, start);
+        table.sent(selection->upstream, query(parts), *selection, start);
+        CPPUNIT_ASSERT_EQUAL(2U, table.ownLoad().at(selection->upstream).running);
+        table.firstEvent(selection->upstream, selection->prefillTokens);
+        table.ended(selection->upstream, 0, selection->isShortPrompt);
+        table.ended(selection->upstream, selection->prefillTokens, selection->isShortPrompt);
+        CPPUNIT_ASSERT(table.ownLoad().empty());
     }
 
     void loadsOfPeersAddUp()
     {
-        UpstreamTable one = book();
+        UpstreamTable table = makeTable();
         const UpstreamId a("a");
         const UpstreamId b("b");
-        one.setPeerLoad(VmName("x"), {{{a, {3, 100, 1}}, {b, {2, 50, 2}}}}, start);
-        one.setPeerLoad(VmName("y"), {{{a, {4, 1000, 4}}}}, start, seconds(10));
-        CPPUNIT_ASSERT_EQUAL(7U, one.load(a, start).running);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1100}, one.load(a, start).prefillTokens);
-        one.setPeerLoad(VmName("x"), {{{a, {1, 10, 0}}}}, start); // its load at b has ended
-        CPPUNIT_ASSERT_EQUAL(5U, one.load(a, start).running);
-        CPPUNIT_ASSERT_EQUAL(4U, one.load(a, start).shortPrompts);
-        CPPUNIT_ASSERT_EQUAL(0U, one.load(b, start).running);
+        table.setPeerLoad(VmName("x"), {{{a, {3, 100, 1}}, {b, {2, 50, 2}}}}, start);
+        table.setPeerLoad(VmName("y"), {{{a, {4, 1000, 4}}}}, start, seconds(10));
+        CPPUNIT_ASSERT_EQUAL(7U, table.load(a, start).running);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1100}, table.load(a, start).prefillTokens);
+        table.setPeerLoad(VmName("x"), {{{a, {1, 10, 0}}}}, start); // its load at b has ended
+        CPPUNIT_ASSERT_EQUAL(5U, table.load(a, start).running);
+        CPPUNIT_ASSERT_EQUAL(4U, table.load(a, start).shortPrompts);
+        CPPUNIT_ASSERT_EQUAL(0U, table.load(b, start).running);
         const Time later = start + UpstreamTable::peerLoadLifetime + milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(4U, one.load(a, later).running); // x is too old, y counts longer
-        CPPUNIT_ASSERT_EQUAL(0U, one.load(a, start + seconds(11)).running);
+        // x has expired, y is valid for longer
+        CPPUNIT_ASSERT_EQUAL(4U, table.load(a, later).running);
+        CPPUNIT_ASSERT_EQUAL(0U, table.load(a, start + seconds(11)).running);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamBookTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamTableTest);
 
 } // namespace reachlead
