--- a/src/include/reachlead/upstreamselector.h
+++ b/src/include/reachlead/upstreamselector.h
@@ -18,8 +18,8 @@
 /// The selected upstream and the gateway that selected it.
 struct PlacementResult
 {
-    std::optional<Selection>
-        selection; ///< nullopt: no upstream takes calls, or the call is refused
+    /// nullopt: no upstream takes calls, or the call is refused
+    std::optional<Selection> selection;
     std::optional<Duration> retryAfter; ///< set if refused because the engines are too far behind
     VmName placedBy; ///< the gateway that made the selection
     Duration duration{};
@@ -33,7 +33,7 @@
 
     /// Always completes within some tens of milliseconds. What \p query points to must stay valid
     /// until then.
-    virtual boost::asio::awaitable<PlacementResult> select(SelectionQuery ask) = 0;
+    virtual boost::asio::awaitable<PlacementResult> select(SelectionQuery query) = 0;
 };
 
 } // namespace reachlead
--- a/src/include/reachlead/upstreamtable.h
+++ b/src/include/reachlead/upstreamtable.h
@@ -54,8 +54,7 @@
     const std::set<UpstreamId> *tried = nullptr; ///< upstreams to exclude
     const ServiceInfo *serviceInfo = nullptr; ///< null: unknown
     const ZoneName *zone = nullptr; ///< of the gateway that received the call; null: the local one
-    const ZoneSet *permittedZones =
-        nullptr; ///< zones whose upstreams may process the call; null: all
+    const ZoneSet *permittedZones = nullptr; ///< null: all
     /// Upstreams for which the selector places calls, and whose load it therefore knows; null: all
     /// upstreams are equivalent.
     const std::set<UpstreamId> *group = nullptr;
