--- a/src/include/reachlead/agentcore.h
+++ b/src/include/reachlead/agentcore.h
@@ -2,11 +2,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The decisions of an agent: the only gate to its upstream.
+/// The decision logic of an agent, the single point of access to its upstream.
 ///
-/// The agent is the one place that sees what its upstream really got. So the order of service at
-/// the upstream, at-most-once, leaving, and the proof that something was not run are decided here.
-/// Pure: no sockets, no threads, no clock of its own. One thread owns it.
+/// Only the agent knows which calls reached its upstream. It therefore decides the order of service
+/// at the upstream, at-most-once execution, leaving, and whether a call provably did not run.
+/// Does no I/O, starts no threads and reads no clock. Not thread-safe: one thread owns it.
 
 #pragma once
 
@@ -26,7 +26,7 @@
 
 namespace reachlead {
 
-/// Numbers the sessions of one agent process; never used twice.
+/// Identifies a session within one agent process; never reused.
 enum class SessionId : std::uint64_t { };
 
 /// One attempt of one request.
@@ -38,11 +38,11 @@
     auto operator<=>(const AttemptKey &) const = default;
 };
 
-/// How the claim of an idempotency key ended.
+/// Result of claiming an idempotency key.
 enum class ClaimResult : std::uint8_t {
-    Granted, ///< this attempt alone may run
+    Granted, ///< only this attempt may run
     Taken, ///< another request holds the key
-    StoreDown ///< it could not be found out; nothing was run
+    StoreDown ///< the store could not be reached; the call was not run
 };
 
 struct SendToRouter
@@ -55,25 +55,25 @@
     SessionId session{};
     std::string reason;
 };
-/// Hand the call to the upstream now.
+/// Send the call to the upstream.
 struct StartUpstreamCall
 {
     AttemptKey key;
     std::shared_ptr<const Dispatch> dispatch;
 };
-/// Stop the call at the upstream.
+/// Cancel the call at the upstream.
 struct CancelUpstreamCall
 {
     AttemptKey key;
 };
-/// Claim the idempotency key before the call leaves.
+/// Claim the idempotency key before the call is sent.
 struct MakeClaim
 {
     AttemptKey key;
     AccountName account;
     std::string idempotencyKey;
 };
-/// The claimed call was proved not to have run: give the key back.
+/// Release the key: the claimed call provably did not run.
 struct ReleaseClaim
 {
     AttemptKey key;
@@ -83,23 +83,22 @@
 using AgentAction = std::variant<SendToRouter, CloseSession, StartUpstreamCall, CancelUpstreamCall,
                                  MakeClaim, ReleaseClaim>;
 
-/// The times and bounds of an agent.
+/// Durations and limits of an agent.
 struct AgentTuning
 {
     AdmissionWindow::Bounds window;
-    std::size_t queueBound = 16; ///< requests that may wait at the agent
-    Duration reattachGrace = seconds(5); ///< a cut stream runs on for this long
+    std::size_t queueBound = 16; ///< requests queued at the agent
+    Duration reattachGrace = seconds(5); ///< how long a stream runs on without a router
     Duration finishedRetention = seconds(30); ///< records of finished attempts
     Duration answerRetention = seconds(600); ///< answers of calls with an idempotency key
-    std::size_t maxFinished = 4096; ///< finished records; the oldest goes first
-    std::size_t maxAnswerBytes = 4U << 20U; ///< bytes of one answer
+    std::size_t maxFinished = 4096; ///< finished records; the oldest is dropped first
+    std::size_t maxAnswerBytes = 4U << 20U;
     std::size_t maxRouters = 2048; ///< router incarnations remembered
 };
 
 class AgentCore
 {
 public:
-    /// Builds a core step by step.
     class Builder
     {
     public:
@@ -127,52 +126,52 @@
 
     // ---- routers ----
 
-    /// A message came on a session. The first on a session must be Hello.
+    /// Handles a message of a session. The first message of a session must be Hello.
     void message(SessionId session, const ToAgent &message, Time now);
-    /// A session ended.
+    /// The connection of a session was closed.
     void sessionClosed(SessionId session, Time now);
 
     // ---- the upstream ----
 
-    /// One token of a streamed answer.
+    /// The upstream sent one token of a streamed answer.
     void upstreamToken(const AttemptKey &key, std::string_view text, Time now);
-    /// The streamed answer is whole.
+    /// The streamed answer is complete.
     void upstreamDone(const AttemptKey &key, Time now);
     /// A plain service answered.
     void upstreamAnswer(const AttemptKey &key, unsigned status, std::vector<Header> headers,
                         std::string body, Time now);
-    /// The upstream's process is gone, and was found so under this call. Tell this before the
-    /// failure of the call, which drops its record.
+    /// The upstream's process exited while it ran this call. Call before upstreamFailed(), which
+    /// may drop the record of the call.
     void upstreamExited(const AttemptKey &key, Time now);
-    /// The upstream failed the call; \p outcome says whether it can have run.
+    /// The call failed at the upstream; \p outcome says whether it may have run.
     void upstreamFailed(const AttemptKey &key, ErrorKind kind, Outcome outcome,
                         const std::string &reason, Time now);
-    /// The upstream turned a call away and wants none for \p retryAfter. Tell this before the end
-    /// of that call, as the next one would start with it.
+    /// The upstream refused a call and requested a backoff of \p retryAfter. Call before reporting
+    /// the result of the refused call, as that starts the next queued call.
     void upstreamRequestedBackoff(Duration retryAfter, Time now);
-    /// A longer backoff is cut to this: the agent does not hear of its upstream's next life.
+    /// Upper bound of a backoff: the agent is not notified when its upstream restarts.
     static constexpr Duration maxBackoff = std::chrono::minutes(1);
-    /// The claim asked for by MakeClaim ended.
+    /// The claim requested by MakeClaim completed.
     void claimCompleted(const AttemptKey &key, ClaimResult result, Time now);
 
-    // ---- the rest ----
+    // ---- draining, time and state ----
 
-    /// Refuses new work from now on, and tells every router at once. What has not reached the
-    /// upstream yet is given back to its router as not run.
+    /// Refuses new calls and notifies all routers at once. Calls not yet sent to the upstream are
+    /// returned to their routers as not run.
     void drain();
-    /// Takes work again.
+    /// Accepts calls again.
     void undrain();
     bool draining() const { return m_draining; }
-    /// True when nothing waits, runs, or is still to be read by a router.
+    /// True when no call is queued or running and no result is waiting to be sent to a router.
     bool idle() const;
-    /// Does what the passing of time brings; to be called every few milliseconds.
+    /// Handles time-outs and periodic work; call every few milliseconds.
     void tick(Time now);
-    /// Takes what is to be done, in order.
+    /// Returns the pending actions in order and clears the list.
     std::vector<AgentAction> takeActions();
 
-    /// The load as told to one router; \p session none: as told to nobody in particular.
+    /// The load as reported to the router of \p session; without a session, `yours` is 0.
     Load load(std::optional<SessionId> session) const;
-    /// UDP ports of the routers that want heartbeats, by session.
+    /// UDP ports of the routers that requested heartbeats, by session.
     std::vector<std::pair<SessionId, std::uint16_t>> heartbeatPorts() const;
     Incarnation incarnation() const { return m_incarnation; }
     const VmName &vm() const { return m_vm; }
@@ -201,28 +200,28 @@
     void enqueue(Run &run);
     void shedQueue();
     void startQueued(Time now);
-    bool wokeJustNow(Time now);
+    bool isResuming(Time now);
     void preemptForQueued(Time now);
     std::map<std::uint8_t, std::vector<Run *>> preemptibleRuns() const;
     void start(Run &run, Time now);
     void applyDrain();
-    void touch(std::optional<SessionId> session);
-    void reportLoad(bool atOnce, Time now);
-    std::optional<Duration> tightestTarget() const;
+    void markLoadChanged(std::optional<SessionId> session);
+    void reportLoad(bool immediately, Time now);
+    std::optional<Duration> tightestTokenGapTarget() const;
 
     // running attempts (agentcore_runs.cpp)
     Run *findRun(const AttemptKey &key);
     void send(const Run &run, ToRouter message);
     void flush(Run &run);
-    void endFailed(Run &run, ErrorKind kind, Outcome outcome, const std::string &reason, Time now);
+    void failRun(Run &run, ErrorKind kind, Outcome outcome, const std::string &reason, Time now);
     void finish(Run &run, AttemptResult end, Time now);
     void refuseRun(Run &run, ErrorKind kind, const std::string &reason);
-    void leaveWindow(Run &run);
-    void settle(const Run &run);
+    void releaseSlot(Run &run);
+    void eraseIfSettled(const Run &run);
     void cancel(Run &run, Time now);
-    void forget(const RequestId &id);
+    void dropRecord(const RequestId &id);
     void dropExpired(Time now);
-    void endGrace(Time now);
+    void cancelDetached(Time now);
 
     VmName m_vm;
     ZoneName m_zone;
@@ -232,30 +231,31 @@
     Counters *m_counters;
     std::unique_ptr<Counters> m_ownCounters;
     AdmissionWindow m_window;
-    Time m_backoffUntil{}; ///< the upstream wants no calls before
-    bool m_isBackingOff = false; ///< as of the last tick or word of the upstream
-    bool m_draining = false; ///< what the two flags below come to
-    bool m_toldToDrain = false; ///< by an operator or a signal
-    bool m_leavingByList = false; ///< by a router that read the membership list
+    Time m_backoffUntil{}; ///< the upstream gets no calls before
+    bool m_isBackingOff = false; ///< as of the last tick or backoff request
+    bool m_draining = false; ///< true when either of the two flags below is
+    bool m_drainRequested = false; ///< by an operator or a signal
+    bool m_leavingInMembership = false; ///< a router reported that the membership list says so
 
     std::map<SessionId, Session> m_sessions;
     std::unordered_map<RequestId, RunPtr> m_runs;
-    std::set<RequestId> m_unsettled; ///< runs that are not over, or whose end is still to be sent
+    std::set<RequestId> m_unsettled; ///< unfinished runs, and those whose End is still to be sent
     std::map<std::pair<std::uint8_t, std::uint64_t>, RequestId> m_queue; ///< by tier, then arrival
     std::map<std::pair<AccountName, std::string>, RequestId> m_byKey;
     std::list<RequestId> m_finished; ///< oldest first
-    std::unordered_map<std::uint64_t, std::uint64_t> m_forgotten; ///< by router: highest sequence
-    bool m_marksLost = false; ///< some router's mark was dropped
-    std::size_t m_running = 0; ///< attempts that hold a place in the window
+    /// By router: the highest sequence whose record was dropped.
+    std::unordered_map<std::uint64_t, std::uint64_t> m_forgotten;
+    bool m_forgottenIncomplete = false; ///< an entry of m_forgotten was evicted
+    std::size_t m_running = 0; ///< attempts that hold a slot of the window
     std::uint64_t m_arrivals = 0;
-    std::uint64_t m_livesEnded = 0; ///< of the upstream
-    std::optional<Time> m_endedAt; ///< when a run last ended with the upstream
+    std::uint64_t m_upstreamExits = 0; ///< upstream incarnations that exited under a call
+    std::optional<Time> m_upstreamExitedAt; ///< when the last exit was detected
     std::uint64_t m_loadSequence = 0;
-    Load m_told; ///< last load told
-    Time m_toldAt{};
-    std::optional<Time> m_tickedAt;
-    Time m_holdUntil{}; ///< nothing starts before, as the process has just woken
-    Time m_forgotAt{};
+    Load m_reportedLoad; ///< sent to routers last
+    Time m_reportedAt{};
+    std::optional<Time> m_lastTickAt;
+    Time m_holdUntil{}; ///< no call starts before, as the process has just resumed
+    Time m_lastExpiryAt{};
     std::vector<AgentAction> m_actions;
 };
 
--- a/src/libreachlead/agentcore.cpp
+++ b/src/libreachlead/agentcore.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// A gap between two ticks that means the process stood still.
-constexpr Duration pauseLimit = milliseconds(500);
+/// A longer gap between two ticks means that the process was suspended.
+constexpr Duration suspensionThreshold = milliseconds(500);
 
-/// After standing still, nothing starts for so long, while what came meanwhile is read.
-constexpr Duration wakeHold = milliseconds(50);
+/// No call starts for this long after a suspension, while the messages received meanwhile are read.
+constexpr Duration resumeHold = milliseconds(50);
 
 } // namespace
 
@@ -81,14 +81,14 @@
 
 void AgentCore::message(SessionId session, const ToAgent &message, Time now)
 {
-    const bool greets = std::holds_alternative<Hello>(message);
+    const bool isHello = std::holds_alternative<Hello>(message);
     const bool known = m_sessions.contains(session);
-    if (greets == known) {
-        // A second Hello, or a message of a session that was destroyed or never greeted: what an
-        // older session still had on its way must not be applied.
+    if (isHello == known) {
+        // A second Hello, or a message of a session that was destroyed or never sent Hello. Frames
+        // of an older session that were still in transit must not be applied.
         m_counters->add(Counter::StaleFrames);
         if (known)
-            destroySession(session, "greeted twice", now);
+            destroySession(session, "second Hello on one session", now);
         return;
     }
     std::visit([&](const auto &m) { handle(session, m, now); }, message);
@@ -97,7 +97,7 @@
 void AgentCore::handle(SessionId session, const Hello &message, Time now)
 {
     if (message.version != protocolVersion) {
-        m_actions.emplace_back(CloseSession{session, "other protocol version"});
+        m_actions.emplace_back(CloseSession{session, "protocol version mismatch"});
         return;
     }
     std::vector<SessionId> older;
@@ -105,7 +105,7 @@
         if (other.incarnation != message.incarnation)
             continue;
         if (other.number >= message.session) {
-            m_actions.emplace_back(CloseSession{session, "a newer session stands"});
+            m_actions.emplace_back(CloseSession{session, "a newer session exists"});
             return;
         }
         older.push_back(id);
@@ -140,11 +140,11 @@
     m_actions.emplace_back(CloseSession{session, reason});
 }
 
-/// Leaves the session's attempts without a router for the time being. What has not left the gate
-/// is refused: its router will ask, and `never seen` is then the truth.
+/// Detaches the session's attempts from their router. Attempts that were not started are refused
+/// and dropped: the router will query them, and NeverReceived is then correct.
 void AgentCore::detach(SessionId session, Time now)
 {
-    std::vector<RequestId> waiting;
+    std::vector<RequestId> queued;
     const std::vector<RequestId> unsettled(m_unsettled.begin(), m_unsettled.end());
     for (const RequestId &id : unsettled) {
         Run &run = *m_runs.at(id);
@@ -152,11 +152,11 @@
             continue;
         run.session.reset();
         run.detachedAt = now;
-        settle(run);
+        eraseIfSettled(run);
         if (run.state == Run::State::Queued)
-            waiting.push_back(id);
+            queued.push_back(id);
     }
-    for (const RequestId &id : waiting)
+    for (const RequestId &id : queued)
         refuseRun(*m_runs.at(id), ErrorKind::Superseded, "session lost");
 }
 
@@ -179,14 +179,14 @@
             return;
         }
         cancel(*old->second, now);
-        forget(message.id);
+        dropRecord(message.id);
     }
     if (m_draining) {
         refuse(session, key, ErrorKind::AgentLeaving, "draining");
         return;
     }
     if (m_isBackingOff) {
-        refuse(session, key, ErrorKind::AgentBusy, "the upstream asked to back off");
+        refuse(session, key, ErrorKind::AgentBusy, "the upstream requested a backoff");
         return;
     }
     if (message.tier >= tierCount) {
@@ -198,21 +198,22 @@
     auto run = std::make_unique<Run>();
     run->dispatch = std::make_shared<const Dispatch>(message);
     run->session = session;
-    run->allowed = message.credit;
+    run->creditLimit = message.credit;
     run->arrival = m_arrivals++;
-    Run &kept = *run;
+    Run &added = *run;
     m_runs[message.id] = std::move(run);
     m_unsettled.insert(message.id);
-    touch(session);
+    markLoadChanged(session);
     if (!message.idempotencyKey.empty())
         m_byKey[{message.account, message.idempotencyKey}] = message.id;
-    enqueue(kept);
+    enqueue(added);
     startQueued(now);
     preemptForQueued(now);
     shedQueue();
 }
 
-/// Answers a repeated key from what this agent holds. True when the request needs no run.
+/// Answers a repeated idempotency key from the records of this agent. Returns true when the request
+/// was answered or refused and must not run.
 bool AgentCore::replayByKey(SessionId session, const Dispatch &message)
 {
     const auto it = m_byKey.find({message.account, message.idempotencyKey});
@@ -221,12 +222,12 @@
     const Run &first = *m_runs.at(it->second);
     const AttemptKey key{message.id, message.attempt};
     if (first.state != Run::State::Finished) {
-        refuse(session, key, ErrorKind::KeyInUse, "first call in progress");
+        refuse(session, key, ErrorKind::KeyInUse, "the first call with this key is in progress");
         return true;
     }
     AttemptResult end = first.end;
     if (end.kind != ErrorKind::None || first.dispatch->stream)
-        return false; // the claim decides
+        return false; // claiming the key decides
     end.id = message.id;
     end.attempt = message.attempt;
     m_actions.emplace_back(SendToRouter{session, Started{message.id, message.attempt}});
@@ -240,35 +241,35 @@
     m_queue.emplace(std::pair(run.dispatch->tier, run.arrival), run.dispatch->id);
 }
 
-/// Refuses what is over the bound: the lowest tier first, in it the newest.
+/// Refuses queued requests above the limit: the lowest tier first, the newest within a tier.
 void AgentCore::shedQueue()
 {
     while (m_queue.size() > m_tuning.queueBound) {
         const RequestId victim = m_queue.rbegin()->second;
-        refuseRun(*m_runs.at(victim), ErrorKind::AgentBusy, "no room");
+        refuseRun(*m_runs.at(victim), ErrorKind::AgentBusy, "the agent's queue is full");
     }
 }
 
-/// True while the process cannot know yet what it missed: it stood still for long, and what came
-/// meanwhile (a cancel, an order to leave, a newer session) may still be unread.
-bool AgentCore::wokeJustNow(Time now)
+/// True shortly after the process was suspended: messages received meanwhile (a cancel, a request
+/// to leave, a newer session) may still be unread.
+bool AgentCore::isResuming(Time now)
 {
-    if (m_tickedAt && now - *m_tickedAt > pauseLimit)
-        m_holdUntil = now + wakeHold;
+    if (m_lastTickAt && now - *m_lastTickAt > suspensionThreshold)
+        m_holdUntil = now + resumeHold;
     return now < m_holdUntil;
 }
 
-/// The running attempts that may be stopped, by tier, oldest first: streams that can go on
-/// elsewhere, of classes that run more than their floor.
+/// The running attempts that may be preempted, by tier, oldest first: streams that can be resumed
+/// elsewhere, of classes that have more calls running than their floor.
 std::map<std::uint8_t, std::vector<AgentCore::Run *>> AgentCore::preemptibleRuns() const
 {
-    std::map<ClassName, std::size_t> runningOf;
+    std::map<ClassName, std::size_t> runningByClass;
     std::vector<Run *> runs;
     for (const RequestId &id : m_unsettled) {
         Run &run = *m_runs.at(id);
         if (run.state != Run::State::Running)
             continue;
-        ++runningOf[run.dispatch->cls];
+        ++runningByClass[run.dispatch->cls];
         if (run.dispatch->stream && run.dispatch->repeatable && run.dispatch->preemptible)
             runs.push_back(&run);
     }
@@ -276,7 +277,7 @@
     std::map<std::uint8_t, std::vector<Run *>> byTier;
     for (Run *run : runs) {
         const double kept = std::ceil(run->dispatch->floor * m_window.size());
-        std::size_t &left = runningOf[run->dispatch->cls];
+        std::size_t &left = runningByClass[run->dispatch->cls];
         if (static_cast<double>(left) <= kept)
             continue;
         --left;
@@ -286,11 +287,11 @@
     return byTier;
 }
 
-/// Stops the newest of the lowest tier for each waiting request of a higher one. What was stopped
-/// goes back to its router with the tokens it made, and goes on from there.
+/// Preempts one running attempt for each queued request of a higher tier: the newest of the lowest
+/// tier. The router keeps the tokens of a preempted attempt and resumes after them.
 void AgentCore::preemptForQueued(Time now)
 {
-    if (m_queue.empty() || wokeJustNow(now))
+    if (m_queue.empty() || isResuming(now))
         return;
     auto byTier = preemptibleRuns();
     std::size_t wanted = m_queue.size();
@@ -313,13 +314,13 @@
         end.kind = ErrorKind::Preempted;
         end.tokens = run->tokens();
         end.hash = XXH64(run->text.data(), run->text.size(), 0);
-        finish(*run, std::move(end), now); // starts the one that waits
+        finish(*run, std::move(end), now); // starts a queued request
     }
 }
 
 void AgentCore::startQueued(Time now)
 {
-    if (wokeJustNow(now) || m_isBackingOff)
+    if (isResuming(now) || m_isBackingOff)
         return;
     while (!m_queue.empty() && m_running < m_window.size()) {
         Run &run = *m_runs.at(m_queue.begin()->second);
@@ -339,7 +340,7 @@
 {
     run.state = Run::State::Running;
     run.startedAt = now;
-    run.tokenAt = now;
+    run.lastTokenAt = now;
     m_actions.emplace_back(StartUpstreamCall{run.key(), run.dispatch});
     send(run, Started{run.dispatch->id, run.dispatch->attempt});
 }
@@ -355,19 +356,19 @@
         run->claimed = true;
         m_counters->add(Counter::ClaimsMade);
         if (!run->session)
-            refuseRun(*run, ErrorKind::Superseded, "router away before the start");
+            refuseRun(*run, ErrorKind::Superseded, "router disconnected before the start");
         else if (m_draining)
             refuseRun(*run, ErrorKind::AgentLeaving, "draining");
-        else if (wokeJustNow(now))
-            refuseRun(*run, ErrorKind::AgentBusy, "stood still during the claim");
+        else if (isResuming(now))
+            refuseRun(*run, ErrorKind::AgentBusy, "the process was suspended during the claim");
         else
             start(*run, now);
         break;
     case ClaimResult::Taken:
-        refuseRun(*run, ErrorKind::KeyAnswered, "the key is claimed by another request");
+        refuseRun(*run, ErrorKind::KeyAnswered, "another request has claimed the key");
         break;
     case ClaimResult::StoreDown:
-        refuseRun(*run, ErrorKind::ClaimStoreDown, "claim could not be written");
+        refuseRun(*run, ErrorKind::ClaimStoreDown, "the claim could not be written");
         break;
     }
     startQueued(now);
@@ -385,13 +386,13 @@
     Run *run = findRun({message.id, message.attempt});
     if (!run || run->session != session)
         return;
-    run->allowed += message.tokens;
+    run->creditLimit += message.tokens;
     flush(*run);
 }
 
 void AgentCore::handle(SessionId /*session*/, const Leaving &message, Time /*now*/)
 {
-    m_leavingByList = message.leaving;
+    m_leavingInMembership = message.leaving;
     applyDrain();
 }
 
@@ -400,9 +401,10 @@
     AttemptQueryReply reply{message.id, message.attempt, AttemptState::NeverReceived};
     Run *run = findRun({message.id, message.attempt});
     if (!run) {
-        const auto mark = m_forgotten.find(message.id.router.value);
-        const bool mayBeForgotten =
-            mark == m_forgotten.end() ? m_marksLost : message.id.sequence <= mark->second;
+        const auto highWaterMark = m_forgotten.find(message.id.router.value);
+        const bool mayBeForgotten = highWaterMark == m_forgotten.end()
+            ? m_forgottenIncomplete
+            : message.id.sequence <= highWaterMark->second;
         if (mayBeForgotten)
             reply.state = AttemptState::Evicted;
         m_actions.emplace_back(SendToRouter{session, reply});
@@ -415,7 +417,7 @@
     run->sent = message.receivedTokens > before
         ? std::min(message.receivedTokens - before, run->tokens())
         : 0;
-    run->allowed = run->sent + message.credit;
+    run->creditLimit = run->sent + message.credit;
     run->endSent = false;
     m_unsettled.insert(message.id);
     flush(*run);
--- a/src/libreachlead/agentcore_load.cpp
+++ b/src/libreachlead/agentcore_load.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Load changes are told to routers no more often than this.
+/// Minimum time between two load reports to routers.
 constexpr Duration loadInterval = milliseconds(10);
 
 } // namespace
@@ -27,77 +27,78 @@
     for (const auto &[tier, runs] : preemptibleRuns())
         load.preemptible.at(tier) = static_cast<std::uint32_t>(runs.size());
     if (session) {
-        const auto isTheirs = [&](const RequestId &id) {
+        const auto isFromSession = [&](const RequestId &id) {
             const Run &run = *m_runs.at(id);
             return run.session == session && run.state != Run::State::Finished;
         };
         load.recipientRequests =
-            static_cast<std::uint32_t>(std::ranges::count_if(m_unsettled, isTheirs));
+            static_cast<std::uint32_t>(std::ranges::count_if(m_unsettled, isFromSession));
     }
     return load;
 }
 
-void AgentCore::reportLoad(bool atOnce, Time now)
+void AgentCore::reportLoad(bool immediately, Time now)
 {
-    Load present = load(std::nullopt);
-    present.sequence = m_told.sequence;
-    if (present == m_told || (!atOnce && now - m_toldAt < loadInterval))
+    Load current = load(std::nullopt);
+    current.sequence = m_reportedLoad.sequence;
+    if (current == m_reportedLoad || (!immediately && now - m_reportedAt < loadInterval))
         return;
-    // Everybody hears what decides whether to send here at all. The rest goes to those whose own
-    // requests changed; the others get it with the next heartbeat.
+    // All routers are notified of changes that decide whether to send here at all. Other changes
+    // go to the routers whose requests changed; the rest get them with the next heartbeat.
     const auto hasRoom = [](const Load &l) { return l.running + l.queued < l.window; };
-    const bool everybody = present.leaving != m_told.leaving || hasRoom(present) != hasRoom(m_told);
-    present.sequence = ++m_loadSequence;
-    m_told = present;
-    m_toldAt = now;
+    const bool notifyAll =
+        current.leaving != m_reportedLoad.leaving || hasRoom(current) != hasRoom(m_reportedLoad);
+    current.sequence = ++m_loadSequence;
+    m_reportedLoad = current;
+    m_reportedAt = now;
     for (auto &[id, session] : m_sessions) {
-        if (everybody || session.touched)
+        if (notifyAll || session.loadChanged)
             m_actions.emplace_back(SendToRouter{id, LoadReport{load(id)}});
-        session.touched = false;
+        session.loadChanged = false;
     }
 }
 
-void AgentCore::touch(std::optional<SessionId> session)
+void AgentCore::markLoadChanged(std::optional<SessionId> session)
 {
     const auto it = session ? m_sessions.find(*session) : m_sessions.end();
     if (it != m_sessions.end())
-        it->second.touched = true;
+        it->second.loadChanged = true;
 }
 
 void AgentCore::drain()
 {
-    m_toldToDrain = true;
+    m_drainRequested = true;
     applyDrain();
 }
 
 void AgentCore::undrain()
 {
-    m_toldToDrain = false;
-    m_leavingByList = false;
+    m_drainRequested = false;
+    m_leavingInMembership = false;
     applyDrain();
 }
 
-/// Leaves while either source says so, and tells the routers at once.
+/// Drains while either source requests it, and notifies the routers at once.
 void AgentCore::applyDrain()
 {
-    const bool leaves = m_toldToDrain || m_leavingByList;
-    if (leaves == m_draining)
+    const bool drains = m_drainRequested || m_leavingInMembership;
+    if (drains == m_draining)
         return;
-    m_draining = leaves;
-    m_counters->set(Gauge::Draining, leaves ? 1 : 0);
-    while (leaves && !m_queue.empty())
+    m_draining = drains;
+    m_counters->set(Gauge::Draining, drains ? 1 : 0);
+    while (drains && !m_queue.empty())
         refuseRun(*m_runs.at(m_queue.begin()->second), ErrorKind::AgentLeaving, "draining");
-    reportLoad(true, m_toldAt);
+    reportLoad(true, m_reportedAt);
 }
 
-/// What waits is given back, so that routers place it elsewhere.
+/// Queued requests are refused, so that routers place them elsewhere.
 void AgentCore::upstreamRequestedBackoff(Duration retryAfter, Time now)
 {
     m_backoffUntil = std::max(m_backoffUntil, now + std::min(retryAfter, maxBackoff));
     m_isBackingOff = now < m_backoffUntil;
     while (m_isBackingOff && !m_queue.empty())
         refuseRun(*m_runs.at(m_queue.begin()->second), ErrorKind::AgentBusy,
-                  "the upstream asked to back off");
+                  "the upstream requested a backoff");
     reportLoad(true, now);
 }
 
@@ -106,7 +107,7 @@
     return m_unsettled.empty();
 }
 
-std::optional<Duration> AgentCore::tightestTarget() const
+std::optional<Duration> AgentCore::tightestTokenGapTarget() const
 {
     std::optional<Duration> tightest;
     for (const RequestId &id : m_unsettled) {
@@ -121,11 +122,11 @@
 
 void AgentCore::tick(Time now)
 {
-    wokeJustNow(now);
-    m_tickedAt = now;
+    isResuming(now);
+    m_lastTickAt = now;
     m_isBackingOff = now < m_backoffUntil;
-    m_window.adjust(now, static_cast<std::uint32_t>(m_running), tightestTarget());
-    endGrace(now);
+    m_window.adjust(now, static_cast<std::uint32_t>(m_running), tightestTokenGapTarget());
+    cancelDetached(now);
     dropExpired(now);
     startQueued(now);
     reportLoad(false, now);
--- a/src/libreachlead/agentcore_pvt.h
+++ b/src/libreachlead/agentcore_pvt.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The records of the agent's core, shared by its source files alone.
+/// Records of AgentCore, shared by its source files only.
 
 #pragma once
 
@@ -12,29 +12,29 @@
 
 namespace reachlead {
 
-/// One attempt, from its dispatch until its record is dropped.
+/// One attempt, from dispatch until its record is dropped.
 struct AgentCore::Run
 {
     enum class State : std::uint8_t { Queued, Claiming, Running, Finished };
 
     std::shared_ptr<const Dispatch> dispatch;
     State state = State::Queued;
-    std::optional<SessionId> session; ///< none: its router is away
+    std::optional<SessionId> session; ///< none: the router is disconnected
     std::uint64_t arrival = 0; ///< key in the queue
-    std::string text; ///< the answer of this attempt
-    std::vector<std::size_t> ends; ///< byte offset behind each token
-    std::uint64_t sent = 0; ///< tokens sent, of this attempt
-    std::uint64_t allowed = 0; ///< tokens that may be sent, of this attempt
+    std::string text; ///< the answer so far, of this attempt
+    std::vector<std::size_t> tokenEnds; ///< byte offset behind each token
+    std::uint64_t sent = 0; ///< tokens of this attempt sent to the router
+    std::uint64_t creditLimit = 0; ///< tokens of this attempt that may be sent
     bool claimed = false;
     bool endSent = false;
-    AttemptResult end; ///< once finished
-    Time startedAt{}; ///< when it was handed to the upstream
-    Time tokenAt{}; ///< when the last token came
+    AttemptResult end; ///< valid once finished
+    Time startedAt{}; ///< when it was sent to the upstream
+    Time lastTokenAt{};
     Time detachedAt{};
     Time finishedAt{};
 
     AttemptKey key() const { return {dispatch->id, dispatch->attempt}; }
-    std::uint64_t tokens() const { return ends.size(); }
+    std::uint64_t tokens() const { return tokenEnds.size(); }
 };
 
 /// One session with a router.
@@ -44,7 +44,7 @@
     Incarnation incarnation;
     std::uint64_t number = 0;
     std::uint16_t heartbeatPort = 0;
-    bool touched = false; ///< its requests changed since the load was told
+    bool loadChanged = false; ///< its requests changed since the last load report
 };
 
 } // namespace reachlead
--- a/src/libreachlead/agentcore_runs.cpp
+++ b/src/libreachlead/agentcore_runs.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Time between two looks for records that are old enough to be dropped.
-constexpr Duration forgetInterval = seconds(1);
+/// Time between two searches for expired records.
+constexpr Duration expiryInterval = seconds(1);
 
 } // namespace
 
@@ -28,17 +28,17 @@
         m_actions.emplace_back(SendToRouter{*run.session, std::move(message)});
 }
 
-/// Sends what the credit allows, and the end behind the last token.
+/// Sends the tokens that the credit allows, and End after the last token.
 void AgentCore::flush(Run &run)
 {
     if (!run.session) {
-        settle(run);
+        eraseIfSettled(run);
         return;
     }
-    const std::uint64_t upTo = std::min(run.tokens(), run.allowed);
+    const std::uint64_t upTo = std::min(run.tokens(), run.creditLimit);
     if (run.sent < upTo) {
-        const std::size_t begin = run.sent == 0 ? 0 : run.ends[run.sent - 1];
-        const std::size_t end = run.ends[upTo - 1];
+        const std::size_t begin = run.sent == 0 ? 0 : run.tokenEnds[run.sent - 1];
+        const std::size_t end = run.tokenEnds[upTo - 1];
         Chunk chunk;
         chunk.id = run.dispatch->id;
         chunk.attempt = run.dispatch->attempt;
@@ -52,11 +52,12 @@
         run.endSent = true;
         send(run, run.end);
     }
-    settle(run);
+    eraseIfSettled(run);
 }
 
-/// Takes a run from the unsettled ones once it is over and its end was sent, or has no router.
-void AgentCore::settle(const Run &run)
+/// Removes a run from the unsettled ones once it has finished and its End was sent, or it has no
+/// router.
+void AgentCore::eraseIfSettled(const Run &run)
 {
     if (run.state == Run::State::Finished && (run.endSent || !run.session))
         m_unsettled.erase(run.dispatch->id);
@@ -69,14 +70,15 @@
         return;
     if (run->text.size() + text.size() > m_tuning.maxAnswerBytes) {
         m_actions.emplace_back(CancelUpstreamCall{key});
-        endFailed(*run, ErrorKind::UpstreamLost, Outcome::Ran, "answer too long", now);
+        failRun(*run, ErrorKind::UpstreamLost, Outcome::Ran, "the answer exceeds the size limit",
+                now);
         return;
     }
     if (run->tokens() > 0)
-        m_window.observe(now - run->tokenAt, now);
-    run->tokenAt = now;
+        m_window.observe(now - run->lastTokenAt, now);
+    run->lastTokenAt = now;
     run->text += text;
-    run->ends.push_back(run->text.size());
+    run->tokenEnds.push_back(run->text.size());
     flush(*run);
 }
 
@@ -104,21 +106,21 @@
     finish(*run, std::move(end), now);
 }
 
-/// Tells all routers, ahead of the run's end: a request that ends upstreams comes to any of them,
-/// and each would have to find it out by three upstreams of its own. Without it 30 of 30 tries of
-/// such a request ended an engine, with it three.
+/// Reports the loss to all routers before the run's End. A request that crashes upstreams may come
+/// through any router, and each would lose three upstreams before it quarantined the request:
+/// without this report 30 of 30 attempts of such a request crashed an engine, with it three.
 void AgentCore::upstreamExited(const AttemptKey &key, Time now)
 {
     const Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    // What began before the last end went down with the same life of the upstream.
-    if (!m_endedAt || run->startedAt > *m_endedAt)
-        ++m_livesEnded;
-    m_endedAt = now;
+    // A run that started before the last exit was lost with the same incarnation of the upstream.
+    if (!m_upstreamExitedAt || run->startedAt > *m_upstreamExitedAt)
+        ++m_upstreamExits;
+    m_upstreamExitedAt = now;
     const RequestDigest request =
         computeDigest(requestContent(run->dispatch->account, run->dispatch->call));
-    const UpstreamCrash loss{request, m_livesEnded};
+    const UpstreamCrash loss{request, m_upstreamExits};
     for (const auto &[session, router] : m_sessions)
         m_actions.emplace_back(SendToRouter{session, loss});
 }
@@ -129,11 +131,11 @@
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    endFailed(*run, kind, outcome, reason, now);
+    failRun(*run, kind, outcome, reason, now);
 }
 
-void AgentCore::endFailed(Run &run, ErrorKind kind, Outcome outcome, const std::string &reason,
-                          Time now)
+void AgentCore::failRun(Run &run, ErrorKind kind, Outcome outcome, const std::string &reason,
+                        Time now)
 {
     if (outcome == Outcome::NotRun && run.tokens() == 0) {
         refuseRun(run, kind, reason);
@@ -151,7 +153,7 @@
 
 void AgentCore::finish(Run &run, AttemptResult end, Time now)
 {
-    leaveWindow(run);
+    releaseSlot(run);
     end.id = run.dispatch->id;
     end.attempt = run.dispatch->attempt;
     run.end = std::move(end);
@@ -162,20 +164,20 @@
     startQueued(now);
 }
 
-void AgentCore::leaveWindow(Run &run)
+void AgentCore::releaseSlot(Run &run)
 {
-    touch(run.session);
+    markLoadChanged(run.session);
     if (run.state == Run::State::Running || run.state == Run::State::Claiming)
         --m_running;
     if (run.state == Run::State::Queued)
         m_queue.erase({run.dispatch->tier, run.arrival});
 }
 
-/// Tells the proof that the attempt was not run, and drops its record: to be asked about it later
-/// and to say `never seen` is the same truth.
+/// Reports that the attempt provably did not run and drops its record: a later query is answered
+/// with NeverReceived, which proves the same.
 void AgentCore::refuseRun(Run &run, ErrorKind kind, const std::string &reason)
 {
-    leaveWindow(run);
+    releaseSlot(run);
     if (run.claimed) {
         m_actions.emplace_back(
             ReleaseClaim{run.key(), run.dispatch->account, run.dispatch->idempotencyKey});
@@ -190,17 +192,17 @@
     m_runs.erase(id);
 }
 
-/// Stops an attempt whose answer nobody waits for. A call that must not be repeated and has
-/// reached its upstream is left to finish: cutting it would leave its effect unknown.
+/// Cancels an attempt whose answer is no longer needed. A call that must not be repeated and has
+/// reached its upstream runs to its end: cancelling it would leave its effect unknown.
 void AgentCore::cancel(Run &run, Time now)
 {
     switch (run.state) {
     case Run::State::Queued:
         run.session.reset();
-        refuseRun(run, ErrorKind::CallerDisconnected, "cancelled before the start");
+        refuseRun(run, ErrorKind::CallerDisconnected, "cancelled before it started");
         break;
     case Run::State::Claiming:
-        run.session.reset(); // the end of the claim finds no router and gives the key back
+        run.session.reset(); // claimCompleted() finds no router and releases the key
         break;
     case Run::State::Running:
         if (!run.dispatch->repeatable && !run.dispatch->stream)
@@ -217,30 +219,30 @@
         break;
     case Run::State::Finished:
         run.session.reset();
-        settle(run);
+        eraseIfSettled(run);
         break;
     }
 }
 
-/// Cancels streams whose router did not come back.
-void AgentCore::endGrace(Time now)
+/// Cancels runs whose router did not reconnect within the grace period.
+void AgentCore::cancelDetached(Time now)
 {
-    std::vector<RequestId> over;
+    std::vector<RequestId> expired;
     for (const RequestId &id : m_unsettled) {
         const Run &run = *m_runs.at(id);
-        const bool waits = run.state == Run::State::Running && !run.session;
-        if (waits && now - run.detachedAt > m_tuning.reattachGrace)
-            over.push_back(id);
+        const bool isDetached = run.state == Run::State::Running && !run.session;
+        if (isDetached && now - run.detachedAt > m_tuning.reattachGrace)
+            expired.push_back(id);
     }
-    for (const RequestId &id : over) {
+    for (const RequestId &id : expired) {
         if (const auto it = m_runs.find(id); it != m_runs.end())
             cancel(*it->second, now);
     }
 }
 
-/// Drops a record and remembers that there may have been one, so that a later query is not
-/// answered with `never seen`.
-void AgentCore::forget(const RequestId &id)
+/// Drops a record and remembers that it may have existed, so that a later query is not answered
+/// with NeverReceived.
+void AgentCore::dropRecord(const RequestId &id)
 {
     const auto it = m_runs.find(id);
     if (it == m_runs.end())
@@ -253,34 +255,36 @@
     m_runs.erase(it);
     if (m_forgotten.size() >= m_tuning.maxRouters && !m_forgotten.contains(id.router.value)) {
         m_forgotten.erase(m_forgotten.begin());
-        m_marksLost = true;
+        m_forgottenIncomplete = true;
     }
-    std::uint64_t &mark = m_forgotten[id.router.value];
-    mark = std::max(mark, id.sequence);
+    std::uint64_t &highWaterMark = m_forgotten[id.router.value];
+    highWaterMark = std::max(highWaterMark, id.sequence);
 }
 
 void AgentCore::dropExpired(Time now)
 {
-    if (now - m_forgotAt < forgetInterval && m_finished.size() <= m_tuning.maxFinished)
+    if (now - m_lastExpiryAt < expiryInterval && m_finished.size() <= m_tuning.maxFinished)
         return;
-    m_forgotAt = now;
+    m_lastExpiryAt = now;
     auto it = m_finished.begin();
     while (it != m_finished.end()) {
         const auto found = m_runs.find(*it);
-        const bool gone = found == m_runs.end() || found->second->state != Run::State::Finished;
-        const bool crowded = m_finished.size() > m_tuning.maxFinished;
-        if (!gone && !crowded) {
+        const bool isDropped =
+            found == m_runs.end() || found->second->state != Run::State::Finished;
+        const bool isOverLimit = m_finished.size() > m_tuning.maxFinished;
+        if (!isDropped && !isOverLimit) {
             const Run &run = *found->second;
-            const bool keyed = !run.dispatch->idempotencyKey.empty();
-            const Duration keep = keyed ? m_tuning.answerRetention : m_tuning.finishedRetention;
-            const bool unread = run.session && !run.endSent;
-            if (unread || now - run.finishedAt < keep) {
+            const bool hasKey = !run.dispatch->idempotencyKey.empty();
+            const Duration retention =
+                hasKey ? m_tuning.answerRetention : m_tuning.finishedRetention;
+            const bool isUndelivered = run.session && !run.endSent;
+            if (isUndelivered || now - run.finishedAt < retention) {
                 ++it;
                 continue;
             }
         }
-        if (!gone)
-            forget(*it);
+        if (!isDropped)
+            dropRecord(*it);
         it = m_finished.erase(it);
     }
 }
--- a/src/libreachlead/agentcore_test.cpp
+++ b/src/libreachlead/agentcore_test.cpp
@@ -7,7 +7,7 @@
 
 namespace reachlead {
 
-/// The gate to an upstream, driven by hand.
+/// Tests AgentCore with simulated time, sessions and upstream events.
 class AgentCoreTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(AgentCoreTest);
@@ -15,24 +15,24 @@
     CPPUNIT_TEST(shedsTheLowestTierWhenFull);
     CPPUNIT_TEST(preemptsTheNewestOfTheLowestTier);
     CPPUNIT_TEST(floorKeepsItsPlaces);
-    CPPUNIT_TEST(reattachedStreamHasNoSeam);
-    CPPUNIT_TEST(creditHoldsUpOneStreamAlone);
+    CPPUNIT_TEST(reattachedStreamHasNoGap);
+    CPPUNIT_TEST(creditLimitsOnlyItsOwnStream);
     CPPUNIT_TEST(leavingAgentRefusesAndFinishes);
-    CPPUNIT_TEST(listCanTakeItsWordBack);
+    CPPUNIT_TEST(leavingInMembershipIsRevoked);
     CPPUNIT_TEST(upstreamIsNotCalledBeforeItsRetryAfter);
-    CPPUNIT_TEST(cutStreamIsNotToldAsTheUpstreamsEnd);
-    CPPUNIT_TEST(wokenAgentReadsBeforeItStarts);
+    CPPUNIT_TEST(brokenStreamIsNotReportedAsUpstreamLoss);
+    CPPUNIT_TEST(resumedAgentReadsBeforeItStarts);
     CPPUNIT_TEST(forgottenRecordIsNotNeverSeen);
     CPPUNIT_TEST(olderSessionIsDestroyed);
-    CPPUNIT_TEST(cancelStopsAStreamButNoBooking);
-    CPPUNIT_TEST(cutStreamEndsAfterItsGrace);
+    CPPUNIT_TEST(cancelStopsStreamButNotPlainCall);
+    CPPUNIT_TEST(detachedStreamIsCancelledAfterGrace);
     CPPUNIT_TEST(repeatedKeyGetsTheFirstAnswer);
-    CPPUNIT_TEST(unreachableUpstreamGivesTheKeyBack);
-    CPPUNIT_TEST(tooLongAnswerIsCut);
+    CPPUNIT_TEST(unreachableUpstreamReleasesClaim);
+    CPPUNIT_TEST(tooLongAnswerIsCancelled);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr SessionId session{1};
-    static constexpr Incarnation routerLife{77};
+    static constexpr Incarnation routerIncarnation{77};
 
     Time m_now{seconds(100)};
     std::unique_ptr<AgentCore> m_core;
@@ -51,14 +51,14 @@
 
     void greet(SessionId id, std::uint64_t number)
     {
-        m_core->message(id, Hello{protocolVersion, VmName("r"), routerLife, number, 0, "", ""},
-                        m_now);
+        m_core->message(
+            id, Hello{protocolVersion, VmName("r"), routerIncarnation, number, 0, "", ""}, m_now);
         collect();
     }
 
     void collect() { m_actions = m_core->takeActions(); }
 
-    static RequestId id(std::uint64_t n) { return {routerLife, n}; }
+    static RequestId id(std::uint64_t n) { return {routerIncarnation, n}; }
     static AttemptKey key(std::uint64_t n, Attempt attempt = 1) { return {id(n), attempt}; }
 
     void dispatch(std::uint64_t n, std::uint8_t tier = 0, const std::string &idempotencyKey = {},
@@ -76,7 +76,7 @@
         collect();
     }
 
-    /// All messages of one type to routers among the last actions.
+    /// The messages of one type that the last actions send to routers.
     template <class Message> std::vector<Message> sent() const
     {
         std::vector<Message> list;
@@ -129,11 +129,11 @@
         const AttemptResult end = sent<AttemptResult>().at(0);
         CPPUNIT_ASSERT(end.kind == ErrorKind::Preempted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, end.id.sequence);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, end.tokens); // what it made is kept
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, end.tokens); // tokens before the preemption are kept
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, sent<Started>().at(0).id.sequence);
         dispatch(5, 1);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, sent<AttemptResult>().at(0).id.sequence);
-        dispatch(6, 1); // an equal tier gives way to nobody
+        dispatch(6, 1); // runs of an equal tier are not preempted
         CPPUNIT_ASSERT(sent<AttemptResult>().empty());
     }
 
@@ -157,7 +157,7 @@
         m_core->tick(m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(0U, m_core->load(session).preemptible[4]);
-        m_core->upstreamDone(key(1), m_now); // the two that kept their places still run
+        m_core->upstreamDone(key(1), m_now); // the two within the floor still run
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<AttemptResult>().size());
         CPPUNIT_ASSERT(sent<AttemptResult>().at(0).kind == ErrorKind::None);
@@ -179,7 +179,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, sent<Refused>().at(0).id.sequence);
     }
 
-    void reattachedStreamHasNoSeam()
+    void reattachedStreamHasNoGap()
     {
         open();
         dispatch(1);
@@ -187,7 +187,7 @@
         token(1, " b");
         m_core->sessionClosed(session, m_now);
         collect();
-        token(1, " c"); // made while the router is away
+        token(1, " c"); // received while the router is disconnected
         greet(SessionId{2}, 2);
         m_core->message(SessionId{2}, AttemptQuery{id(1), 1, 2, 100}, m_now);
         collect();
@@ -200,7 +200,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<AttemptResult>().at(0).tokens);
     }
 
-    void creditHoldsUpOneStreamAlone()
+    void creditLimitsOnlyItsOwnStream()
     {
         open();
         Dispatch slow;
@@ -217,7 +217,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Chunk>().size());
         m_core->upstreamDone(key(1), m_now);
         collect();
-        CPPUNIT_ASSERT(sent<AttemptResult>().empty()); // never ahead of its tokens
+        CPPUNIT_ASSERT(sent<AttemptResult>().empty()); // End is never sent before all tokens
         m_core->message(session, Credit{id(1), 1, 10}, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<Chunk>().at(0).count);
@@ -233,8 +233,9 @@
         dispatch(2);
         m_core->drain();
         collect();
-        CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentLeaving); // 2, given back
-        CPPUNIT_ASSERT(sent<LoadReport>().at(0).load.leaving); // told at once
+        CPPUNIT_ASSERT(sent<Refused>().at(0).kind
+                       == ErrorKind::AgentLeaving); // the queued request 2
+        CPPUNIT_ASSERT(sent<LoadReport>().at(0).load.leaving); // reported at once
         dispatch(3);
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentLeaving);
         CPPUNIT_ASSERT(!m_core->idle());
@@ -245,7 +246,8 @@
         CPPUNIT_ASSERT(m_core->idle());
     }
 
-    /// One call runs, one waits. The first is refused with a Retry-After of three seconds.
+    /// The upstream refuses the running call with a Retry-After of three seconds while another call
+    /// is queued. No call may reach the upstream before that time is over.
     void upstreamIsNotCalledBeforeItsRetryAfter()
     {
         AgentTuning tuning;
@@ -257,10 +259,10 @@
         m_core->upstreamFailed(key(1), ErrorKind::UpstreamRefused, Outcome::NotRun, "503", m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
-        CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy); // 2, given back
-        CPPUNIT_ASSERT_EQUAL(0U, sent<LoadReport>().at(0).load.window); // told at once
+        CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy); // the queued request 2
+        CPPUNIT_ASSERT_EQUAL(0U, sent<LoadReport>().at(0).load.window); // reported at once
         m_now += seconds(2);
-        m_core->upstreamRequestedBackoff(milliseconds(100), m_now); // does not shorten the first
+        m_core->upstreamRequestedBackoff(milliseconds(100), m_now); // does not shorten the backoff
         dispatch(3);
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy);
         m_now += seconds(1);
@@ -271,24 +273,28 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>());
     }
 
-    /// A stream that its engine cut three times was quarantined as one that ends engines.
-    void cutStreamIsNotToldAsTheUpstreamsEnd()
+    /// A stream that its engine disconnectedAt three times was quarantined as one that ends
+    /// engines.
+    void brokenStreamIsNotReportedAsUpstreamLoss()
     {
         open();
         dispatch(1);
-        m_core->upstreamFailed(key(1), ErrorKind::UpstreamLost, Outcome::Ran, "cut", m_now);
+        m_core->upstreamFailed(key(1), ErrorKind::UpstreamLost, Outcome::Ran, "connection lost",
+                               m_now);
         collect();
         CPPUNIT_ASSERT(sent<AttemptResult>().at(0).kind == ErrorKind::UpstreamLost);
         CPPUNIT_ASSERT(sent<UpstreamCrash>().empty());
         dispatch(2);
         m_core->upstreamExited(key(2), m_now);
-        m_core->upstreamFailed(key(2), ErrorKind::UpstreamLost, Outcome::Ran, "gone", m_now);
+        m_core->upstreamFailed(key(2), ErrorKind::UpstreamLost, Outcome::Ran, "process exited",
+                               m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<UpstreamCrash>().size());
     }
 
-    /// It stood still for 4 s. What waits in its socket is a dispatch, then the word to leave.
-    void wokenAgentReadsBeforeItStarts()
+    /// The process was suspended for 4 s, and its socket holds a dispatch followed by a request to
+    /// leave. The agent must read both before it starts a call.
+    void resumedAgentReadsBeforeItStarts()
     {
         open();
         m_core->tick(m_now);
@@ -305,10 +311,11 @@
             m_core->tick(m_now);
         }
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>()); // and goes on as before
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                             count<StartUpstreamCall>()); // runs normally after the hold
     }
 
-    void listCanTakeItsWordBack()
+    void leavingInMembershipIsRevoked()
     {
         open();
         m_core->message(session, Leaving{true}, m_now);
@@ -318,7 +325,7 @@
         m_core->drain();
         m_core->message(session, Leaving{true}, m_now);
         m_core->message(session, Leaving{false}, m_now);
-        CPPUNIT_ASSERT(m_core->draining()); // an operator's order stands
+        CPPUNIT_ASSERT(m_core->draining()); // the operator's drain is still in effect
     }
 
     void forgottenRecordIsNotNeverSeen()
@@ -345,16 +352,16 @@
         open();
         greet(SessionId{2}, 2);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CloseSession>());
-        dispatch(1); // late, on the older session
+        dispatch(1); // arrives late on the older session
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
         m_core->message(SessionId{2}, AttemptQuery{id(1), 1, 0, 0}, m_now);
         collect();
         CPPUNIT_ASSERT(sent<AttemptQueryReply>().at(0).state == AttemptState::NeverReceived);
-        greet(SessionId{3}, 1); // an old Hello that was under way
+        greet(SessionId{3}, 1); // an older Hello that was delayed
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CloseSession>());
     }
 
-    void cancelStopsAStreamButNoBooking()
+    void cancelStopsStreamButNotPlainCall()
     {
         open();
         dispatch(1);
@@ -368,18 +375,18 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_core->running());
     }
 
-    void cutStreamEndsAfterItsGrace()
+    void detachedStreamIsCancelledAfterGrace()
     {
         open();
         dispatch(1);
         m_core->sessionClosed(session, m_now);
-        const Time cut = m_now;
-        while (m_now < cut + seconds(4)) {
+        const Time disconnectedAt = m_now;
+        while (m_now < disconnectedAt + seconds(4)) {
             m_now += milliseconds(100);
             m_core->tick(m_now);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_core->running());
-        while (m_now < cut + seconds(6)) {
+        while (m_now < disconnectedAt + seconds(6)) {
             m_now += milliseconds(100);
             m_core->tick(m_now);
         }
@@ -405,7 +412,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
     }
 
-    void unreachableUpstreamGivesTheKeyBack()
+    void unreachableUpstreamReleasesClaim()
     {
         open();
         dispatch(1, 0, "k", false);
@@ -416,7 +423,7 @@
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::UpstreamUnreachable);
     }
 
-    void tooLongAnswerIsCut()
+    void tooLongAnswerIsCancelled()
     {
         AgentTuning tuning;
         tuning.maxAnswerBytes = 10;
