--- a/src/libreachlead/agentcore_test.cpp
+++ b/src/libreachlead/agentcore_test.cpp
@@ -233,8 +233,7 @@
         dispatch(2);
         m_core->drain();
         collect();
-        CPPUNIT_ASSERT(sent<Refused>().at(0).kind
-                       == ErrorKind::AgentLeaving); // the queued request 2
+        CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentLeaving); // request 2
         CPPUNIT_ASSERT(sent<LoadReport>().at(0).load.leaving); // reported at once
         dispatch(3);
         CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentLeaving);
@@ -259,7 +258,7 @@
         m_core->upstreamFailed(key(1), ErrorKind::UpstreamRefused, Outcome::NotRun, "503", m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count<StartUpstreamCall>());
-        CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy); // the queued request 2
+        CPPUNIT_ASSERT(sent<Refused>().at(0).kind == ErrorKind::AgentBusy); // request 2
         CPPUNIT_ASSERT_EQUAL(0U, sent<LoadReport>().at(0).load.window); // reported at once
         m_now += seconds(2);
         m_core->upstreamRequestedBackoff(milliseconds(100), m_now); // does not shorten the backoff
@@ -273,8 +272,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>());
     }
 
-    /// A stream that its engine disconnectedAt three times was quarantined as one that ends
-    /// engines.
+    /// A request whose stream was closed three times by a running engine must not be quarantined as
+    /// if it had crashed three engines: only an exited process is reported as an upstream loss.
     void brokenStreamIsNotReportedAsUpstreamLoss()
     {
         open();
@@ -311,8 +310,7 @@
             m_core->tick(m_now);
         }
         collect();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                             count<StartUpstreamCall>()); // runs normally after the hold
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<StartUpstreamCall>()); // after the hold
     }
 
     void leavingInMembershipIsRevoked()
