--- a/src/include/reachlead/claimtable.h
+++ b/src/include/reachlead/claimtable.h
@@ -2,13 +2,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Claims of idempotency keys, kept by the platform: the decisions, without the calls.
+/// Claims of idempotency keys, stored by the platform: the decision logic, without I/O.
 ///
-/// Keys are spread over partitions, and a partition is a ring of objects (slots). The slot with
-/// the highest epoch is open and takes new claims; the others are closed and only read. Every
-/// write is conditional on the slot's version, so an agent with an old view always fails, reads
-/// again, and finds what others claimed. Correctness rests on that check alone; that a key usually
-/// goes to the same agent only saves conflicts. docs/decisions/004 weighs the ways.
+/// Keys are hashed to partitions, and a partition is a ring of objects (slots). The slot with the
+/// highest epoch is open and takes new claims; the others are closed and only read. Every write is
+/// conditional on the slot's version, so the write of an agent with an outdated view always fails;
+/// the agent then reads the slots again and finds the claims of other agents. Correctness depends
+/// on this check alone; routing a key to the same agent where possible only avoids conflicts.
+/// docs/decisions/004 compares the alternatives.
 
 #pragma once
 
@@ -24,16 +25,16 @@
 
 namespace reachlead {
 
-/// Where the claims of a target stand at the platform.
+/// The prefix of the object keys of a target's claims.
 std::string claimsPrefix(const TargetName &target);
 
-/// The partition of a key; routers use it to send a key to the same agent.
+/// The partition of a key. Routers use it to route a key to the same agent.
 std::uint32_t claimPartition(const AccountName &account, std::string_view idempotencyKey);
 
-/// Partitions of one target; all agents and routers must agree on it.
+/// All agents and routers must use the same value.
 inline constexpr std::uint32_t claimPartitionCount = 32;
 
-/// Numbers the calls that are out.
+/// Identifies a pending call to the store.
 enum class ClaimCallId : std::uint64_t { };
 
 /// Read all slots of a partition.
@@ -42,7 +43,7 @@
     ClaimCallId call{};
     std::string prefix;
 };
-/// Write one slot if it stands at \p expected.
+/// Write one slot if its version is \p expected.
 struct WriteSlot
 {
     ClaimCallId call{};
@@ -50,7 +51,7 @@
     std::string value;
     ObjectVersion expected{};
 };
-/// The word on one claim.
+/// Reports the result of one claim.
 struct ClaimCompleted
 {
     AttemptKey key;
@@ -58,34 +59,34 @@
 };
 using ClaimAction = std::variant<ReadSlots, WriteSlot, ClaimCompleted>;
 
-/// The times and bounds of claims.
+/// Durations and limits of claims.
 struct ClaimTuning
 {
-    Duration life = seconds(900); ///< a key stays claimed at least so long
-    Duration wait = seconds(2); ///< a claim not written by then is refused
-    Duration spacing = milliseconds(400); ///< between two writes of one partition
-    std::size_t slots = 16;
-    std::size_t slotBytes = 64U << 10U; ///< a fuller slot is closed
-    std::size_t mostWaiting = 4096; ///< claims and releases that wait, all partitions
+    Duration retention = seconds(900); ///< minimum time for which a key stays claimed
+    Duration maxWait = seconds(2); ///< a claim not written within this time is refused
+    Duration writeInterval = milliseconds(400); ///< minimum, between writes to one partition
+    std::size_t slotCount = 16; ///< per partition
+    std::size_t maxSlotBytes = 64U << 10U; ///< a larger slot is closed
+    std::size_t maxPending = 4096; ///< queued claims and releases of all partitions
 };
 
 /// Not thread-safe; the agent's platform thread owns it.
 class ClaimTable
 {
 public:
-    /// \p wallSeconds gives the time of day in seconds; it only decides when old claims go.
+    /// \p wallSeconds returns the time of day in seconds; it is only used to expire closed slots.
     ClaimTable(TargetName target, ClaimTuning tuning, std::function<std::int64_t()> wallSeconds);
 
     void claim(const MakeClaim &claim, Time now);
-    /// Gives a key back; tried until it is written.
+    /// Releases a key; retried until it is written.
     void release(const ReleaseClaim &release, Time now);
-    /// The answer to a ReadSlots or WriteSlot.
+    /// Handles the reply to a ReadSlots or WriteSlot.
     void replyReceived(ClaimCallId call, const PlatformReply &reply, Time now);
     void tick(Time now);
     std::vector<ClaimAction> takeActions();
 
 private:
-    /// Who holds a key.
+    /// The attempt that holds a key.
     struct Owner
     {
         RequestId id;
@@ -98,44 +99,44 @@
         std::int64_t closedAt = 0; ///< time of day; 0: open
         std::string lines;
     };
-    /// A claim or release that is not written yet.
+    /// A claim or release that is not yet written.
     struct Change
     {
         std::string hash;
         Owner owner;
-        bool releases = false;
-        Time until{}; ///< for claims
+        bool isRelease = false;
+        Time deadline{}; ///< of claims
     };
     enum class Phase : std::uint8_t { Unread, Reading, Ready, Writing };
     struct Partition
     {
         Phase phase = Phase::Unread;
-        std::map<std::size_t, Slot> slots; ///< by place in the ring
+        std::map<std::size_t, Slot> slots; ///< by index in the ring
         std::map<std::string, Owner> owners;
-        std::deque<Change> waiting;
+        std::deque<Change> pending;
         std::vector<Change> writing;
-        bool inDoubt = false; ///< the reply to `writing` was lost
+        bool inDoubt = false; ///< the reply to the write of `writing` was lost
         Slot writingSlot;
-        std::size_t writingPlace = 0;
+        std::size_t writingIndex = 0;
         ClaimCallId call{};
-        Time nextAt{};
+        Time nextCallAt{};
     };
 
     void add(std::uint32_t partition, Change change, Time now);
     void advance(std::uint32_t number, Partition &p, Time now);
     void read(std::uint32_t number, Partition &p);
     void write(std::uint32_t number, Partition &p, Time now);
-    void takeSlots(Partition &p, const PlatformReply &reply);
-    void settleDoubt(Partition &p);
-    void written(Partition &p, ObjectVersion version);
-    void giveBack(Partition &p);
+    void loadSlots(Partition &p, const PlatformReply &reply);
+    void resolveInDoubt(Partition &p);
+    void writeSucceeded(Partition &p, ObjectVersion version);
+    void requeue(Partition &p);
     void expire(Partition &p, Time now);
-    bool openSlot(Partition &p, std::size_t *place, Slot *slot) const;
-    bool takenByOther(const Partition &p, const Change &change) const;
+    bool findOpenSlot(Partition &p, std::size_t *index, Slot *slot) const;
+    bool isClaimedByOther(const Partition &p, const Change &change) const;
     void end(const Change &change, ClaimResult result);
-    std::string slotKey(std::uint32_t number, std::size_t place) const;
-    static std::string textOf(const Slot &slot);
-    static std::optional<Slot> parse(const std::string &text);
+    std::string slotKey(std::uint32_t number, std::size_t index) const;
+    static std::string serializeSlot(const Slot &slot);
+    static std::optional<Slot> parseSlot(const std::string &text);
     static void rebuildOwners(Partition &p);
     static void eraseOwner(std::map<std::string, Owner> *owners, const std::string &hash,
                            const Owner &owner);
@@ -147,7 +148,7 @@
     std::map<std::uint32_t, Partition> m_partitions;
     std::map<ClaimCallId, std::uint32_t> m_calls;
     std::uint64_t m_lastCall = 0;
-    std::size_t m_waiting = 0;
+    std::size_t m_pending = 0;
     std::vector<ClaimAction> m_actions;
 };
 
--- a/src/libreachlead/claimtable.cpp
+++ b/src/libreachlead/claimtable.cpp
@@ -14,9 +14,10 @@
 
 namespace {
 
-constexpr Duration maxRetryBackoff = milliseconds(100); ///< after a call that found the store away
+/// Time until the next call after one that failed as the store was unavailable.
+constexpr Duration retryInterval = milliseconds(100);
 
-std::string hashOf(const AccountName &account, std::string_view key)
+std::string hashKey(const AccountName &account, std::string_view key)
 {
     std::string joined = account.text;
     joined += '\n';
@@ -25,14 +26,14 @@
     return fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
 }
 
-template <class T> bool readNumber(std::string_view text, T *out)
+template <class T> bool parseNumber(std::string_view text, T *out)
 {
     const char *end = text.data() + text.size();
     const auto got = std::from_chars(text.begin(), text.end(), *out);
     return got.ec == std::errc() && got.ptr == end;
 }
 
-std::vector<std::string_view> words(std::string_view line)
+std::vector<std::string_view> splitWords(std::string_view line)
 {
     std::vector<std::string_view> list;
     for (const auto part : line | std::views::split(' '))
@@ -49,7 +50,7 @@
 
 std::uint32_t claimPartition(const AccountName &account, std::string_view idempotencyKey)
 {
-    const std::string hash = hashOf(account, idempotencyKey);
+    const std::string hash = hashKey(account, idempotencyKey);
     return static_cast<std::uint32_t>(XXH64(hash.data(), hash.size(), 0) % claimPartitionCount);
 }
 
@@ -60,16 +61,16 @@
 
 void ClaimTable::claim(const MakeClaim &claim, Time now)
 {
-    Change change{hashOf(claim.account, claim.idempotencyKey),
+    Change change{hashKey(claim.account, claim.idempotencyKey),
                   {claim.key.id, claim.key.attempt},
                   false,
-                  now + m_tuning.wait};
+                  now + m_tuning.maxWait};
     add(claimPartition(claim.account, claim.idempotencyKey), std::move(change), now);
 }
 
 void ClaimTable::release(const ReleaseClaim &release, Time now)
 {
-    Change change{hashOf(release.account, release.idempotencyKey),
+    Change change{hashKey(release.account, release.idempotencyKey),
                   {release.key.id, release.key.attempt},
                   true,
                   Time::max()};
@@ -78,21 +79,21 @@
 
 void ClaimTable::add(std::uint32_t partition, Change change, Time now)
 {
-    if (m_waiting >= m_tuning.mostWaiting) {
-        // A claim is refused as not run. A release is dropped: its key then stays claimed until
-        // it expires, which refuses a repeat and never lets one run twice.
+    if (m_pending >= m_tuning.maxPending) {
+        // A claim is refused as not run. A release is dropped: its key then stays claimed until it
+        // expires. That refuses a repeated call, but never lets one run twice.
         end(change, ClaimResult::StoreDown);
         return;
     }
-    ++m_waiting;
+    ++m_pending;
     Partition &p = m_partitions[partition];
-    p.waiting.push_back(std::move(change));
+    p.pending.push_back(std::move(change));
     advance(partition, p, now);
 }
 
 void ClaimTable::end(const Change &change, ClaimResult result)
 {
-    if (!change.releases)
+    if (!change.isRelease)
         m_actions.emplace_back(ClaimCompleted{{change.owner.id, change.owner.attempt}, result});
 }
 
@@ -109,33 +110,33 @@
     }
 }
 
-/// Refuses claims that waited too long. Those being written are looked at when the word on the
-/// write is in.
+/// Refuses claims that waited too long. Claims being written are checked once the reply to the
+/// write is received.
 void ClaimTable::expire(Partition &p, Time now)
 {
-    const auto over = [&](const Change &change) {
-        if (change.until > now)
+    const auto isExpired = [&](const Change &change) {
+        if (change.deadline > now)
             return false;
         end(change, ClaimResult::StoreDown);
         return true;
     };
-    m_waiting -= std::erase_if(p.waiting, over);
+    m_pending -= std::erase_if(p.pending, isExpired);
     if (!p.inDoubt)
         return;
-    // The write may have taken effect. The calls are refused, which is true as they do not run,
-    // and the keys are given back once the store can be reached.
+    // The write may have taken effect. The calls are refused as not run, which is correct as they
+    // are never started, and the keys are released once the store can be reached.
     for (Change &change : p.writing) {
-        if (!change.releases && over(change)) {
-            change.releases = true;
-            change.until = Time::max();
+        if (!change.isRelease && isExpired(change)) {
+            change.isRelease = true;
+            change.deadline = Time::max();
         }
     }
 }
 
 void ClaimTable::advance(std::uint32_t number, Partition &p, Time now)
 {
-    const bool hasWork = !p.waiting.empty() || p.inDoubt;
-    if (!hasWork || now < p.nextAt)
+    const bool hasWork = !p.pending.empty() || p.inDoubt;
+    if (!hasWork || now < p.nextCallAt)
         return;
     if (p.phase == Phase::Unread)
         read(number, p);
@@ -151,37 +152,38 @@
     m_actions.emplace_back(ReadSlots{p.call, fmt::format("{}{}/", claimsPrefix(m_target), number)});
 }
 
-bool ClaimTable::takenByOther(const Partition &p, const Change &change) const
+bool ClaimTable::isClaimedByOther(const Partition &p, const Change &change) const
 {
     const auto it = p.owners.find(change.hash);
     if (it == p.owners.end())
         return false;
-    // The same request with a later attempt: its router has the proof that the earlier one did
-    // not run.
+    // A later attempt of the same request may take the key: its router has proof that the earlier
+    // attempt did not run.
     return it->second.id != change.owner.id || it->second.attempt > change.owner.attempt;
 }
 
-/// Finds the slot that takes the next claims, or starts the next one over the oldest.
-bool ClaimTable::openSlot(Partition &p, std::size_t *place, Slot *slot) const
+/// Finds the slot for new claims: the open one, or a new one that overwrites the oldest. Returns
+/// false when all slots are still within their retention.
+bool ClaimTable::findOpenSlot(Partition &p, std::size_t *index, Slot *slot) const
 {
     const auto newest =
         std::ranges::max_element(p.slots, {}, [](const auto &entry) { return entry.second.epoch; });
     if (newest == p.slots.end()) {
-        *place = 0;
+        *index = 0;
         *slot = Slot{};
         slot->epoch = 1;
         return true;
     }
     if (newest->second.closedAt == 0) {
-        *place = newest->first;
+        *index = newest->first;
         *slot = newest->second;
         return true;
     }
-    *place = (newest->first + 1) % m_tuning.slots;
-    const auto oldest = p.slots.find(*place);
-    const auto life = static_cast<std::int64_t>(toSeconds(m_tuning.life));
-    if (oldest != p.slots.end() && m_wallSeconds() - oldest->second.closedAt < life)
-        return false; // every slot holds claims that are still good
+    *index = (newest->first + 1) % m_tuning.slotCount;
+    const auto oldest = p.slots.find(*index);
+    const auto retention = static_cast<std::int64_t>(toSeconds(m_tuning.retention));
+    if (oldest != p.slots.end() && m_wallSeconds() - oldest->second.closedAt < retention)
+        return false; // all slots are within their retention
     *slot = Slot{};
     slot->version = oldest == p.slots.end() ? ObjectVersion{} : oldest->second.version;
     slot->epoch = newest->second.epoch + 1;
@@ -190,18 +192,18 @@
 
 void ClaimTable::write(std::uint32_t number, Partition &p, Time now)
 {
-    const bool room = openSlot(p, &p.writingPlace, &p.writingSlot);
-    while (!p.waiting.empty()) {
-        Change change = std::move(p.waiting.front());
-        p.waiting.pop_front();
-        --m_waiting;
+    const bool hasRoom = findOpenSlot(p, &p.writingIndex, &p.writingSlot);
+    while (!p.pending.empty()) {
+        Change change = std::move(p.pending.front());
+        p.pending.pop_front();
+        --m_pending;
         const bool inBatch = std::ranges::any_of(p.writing, [&](const Change &other) {
             return other.hash == change.hash && other.owner.id != change.owner.id
-                && !other.releases;
+                && !other.isRelease;
         });
-        if (!change.releases && (inBatch || takenByOther(p, change)))
+        if (!change.isRelease && (inBatch || isClaimedByOther(p, change)))
             end(change, ClaimResult::Taken);
-        else if (!room)
+        else if (!hasRoom)
             end(change, ClaimResult::StoreDown);
         else
             p.writing.push_back(std::move(change));
@@ -209,17 +211,18 @@
     if (p.writing.empty())
         return;
     for (const Change &change : p.writing) {
-        p.writingSlot.lines += fmt::format("{}{} {} {}\n", change.releases ? '-' : '+', change.hash,
-                                           toString(change.owner.id), change.owner.attempt);
+        p.writingSlot.lines +=
+            fmt::format("{}{} {} {}\n", change.isRelease ? '-' : '+', change.hash,
+                        toString(change.owner.id), change.owner.attempt);
     }
-    if (p.writingSlot.lines.size() > m_tuning.slotBytes)
+    if (p.writingSlot.lines.size() > m_tuning.maxSlotBytes)
         p.writingSlot.closedAt = m_wallSeconds();
     p.phase = Phase::Writing;
-    p.nextAt = now + m_tuning.spacing;
+    p.nextCallAt = now + m_tuning.writeInterval;
     p.call = ClaimCallId{++m_lastCall};
     m_calls[p.call] = number;
-    m_actions.emplace_back(WriteSlot{p.call, slotKey(number, p.writingPlace), textOf(p.writingSlot),
-                                     p.writingSlot.version});
+    m_actions.emplace_back(WriteSlot{p.call, slotKey(number, p.writingIndex),
+                                     serializeSlot(p.writingSlot), p.writingSlot.version});
 }
 
 void ClaimTable::replyReceived(ClaimCallId call, const PlatformReply &reply, Time now)
@@ -237,56 +240,56 @@
     case PlatformStatus::Ok:
     case PlatformStatus::NotFound:
         if (wasRead) {
-            takeSlots(p, reply);
+            loadSlots(p, reply);
             p.phase = Phase::Ready;
             if (p.inDoubt)
-                settleDoubt(p);
+                resolveInDoubt(p);
         } else {
-            written(p, reply.version);
+            writeSucceeded(p, reply.version);
         }
         break;
     case PlatformStatus::Conflict:
-        // Another agent wrote first; nothing of ours took effect. Read, and try again.
+        // Another agent wrote first and the write had no effect. Read the slots and retry.
         p.phase = Phase::Unread;
-        p.nextAt = now;
-        giveBack(p);
+        p.nextCallAt = now;
+        requeue(p);
         break;
     case PlatformStatus::Unavailable:
-        if (!wasRead) // the store said that it did nothing
-            giveBack(p);
+        if (!wasRead) // the store reported that it did nothing
+            requeue(p);
         p.phase = Phase::Unread;
-        p.nextAt = now + maxRetryBackoff;
+        p.nextCallAt = now + retryInterval;
         break;
     case PlatformStatus::Indeterminate:
         p.inDoubt = p.inDoubt || !wasRead;
         p.phase = Phase::Unread;
-        p.nextAt = now + maxRetryBackoff;
+        p.nextCallAt = now + retryInterval;
         break;
     }
     expire(p, now);
     advance(number, p, now);
 }
 
-/// Puts a batch that was not written back in front of the line.
-void ClaimTable::giveBack(Partition &p)
+/// Puts a batch that was not written back at the front of the queue.
+void ClaimTable::requeue(Partition &p)
 {
-    m_waiting += p.writing.size();
-    p.waiting.insert(p.waiting.begin(), std::make_move_iterator(p.writing.begin()),
+    m_pending += p.writing.size();
+    p.pending.insert(p.pending.begin(), std::make_move_iterator(p.writing.begin()),
                      std::make_move_iterator(p.writing.end()));
     p.writing.clear();
 }
 
-void ClaimTable::written(Partition &p, ObjectVersion version)
+void ClaimTable::writeSucceeded(Partition &p, ObjectVersion version)
 {
     p.phase = Phase::Ready;
     p.writingSlot.version = version;
-    Slot &slot = p.slots[p.writingPlace];
+    Slot &slot = p.slots[p.writingIndex];
     const bool replaced = slot.epoch != 0 && slot.epoch != p.writingSlot.epoch;
     slot = p.writingSlot;
     if (replaced)
-        rebuildOwners(p); // the claims of the slot that was written over are gone
+        rebuildOwners(p); // the claims of the overwritten slot have expired
     for (const Change &change : p.writing) {
-        if (change.releases) {
+        if (change.isRelease) {
             eraseOwner(&p.owners, change.hash, change.owner);
         } else {
             p.owners[change.hash] = change.owner;
@@ -296,8 +299,8 @@
     p.writing.clear();
 }
 
-/// After a lost reply: what was read back says whether the batch was written.
-void ClaimTable::settleDoubt(Partition &p)
+/// Decides from the slots read after a lost reply whether the batch was written.
+void ClaimTable::resolveInDoubt(Partition &p)
 {
     p.inDoubt = false;
     std::vector<Change> batch = std::exchange(p.writing, {});
@@ -305,26 +308,26 @@
         const auto it = p.owners.find(change.hash);
         const bool isOurs = it != p.owners.end() && it->second.id == change.owner.id
             && it->second.attempt == change.owner.attempt;
-        if (!change.releases && isOurs) {
+        if (!change.isRelease && isOurs) {
             end(change, ClaimResult::Granted);
-        } else if (!change.releases || isOurs) {
-            ++m_waiting;
-            p.waiting.push_front(std::move(change));
+        } else if (!change.isRelease || isOurs) {
+            ++m_pending;
+            p.pending.push_front(std::move(change));
         }
     }
 }
 
-void ClaimTable::takeSlots(Partition &p, const PlatformReply &reply)
+void ClaimTable::loadSlots(Partition &p, const PlatformReply &reply)
 {
     p.slots.clear();
     for (const PlatformObject &object : reply.objects) {
         const auto slash = object.key.rfind('/');
-        std::size_t place = 0;
-        std::optional<Slot> slot = parse(object.value);
-        if (!slot || !readNumber(std::string_view(object.key).substr(slash + 1), &place))
+        std::size_t index = 0;
+        std::optional<Slot> slot = parseSlot(object.value);
+        if (!slot || !parseNumber(std::string_view(object.key).substr(slash + 1), &index))
             continue;
         slot->version = object.version;
-        p.slots[place] = std::move(*slot);
+        p.slots[index] = std::move(*slot);
     }
     rebuildOwners(p);
 }
@@ -332,37 +335,37 @@
 void ClaimTable::rebuildOwners(Partition &p)
 {
     std::map<std::uint64_t, const Slot *> byEpoch;
-    for (const auto &[place, slot] : p.slots)
+    for (const auto &[index, slot] : p.slots)
         byEpoch[slot.epoch] = &slot;
     p.owners.clear();
     for (const auto &[epoch, slot] : byEpoch)
         replay(slot->lines, &p.owners);
 }
 
-std::string ClaimTable::slotKey(std::uint32_t number, std::size_t place) const
+std::string ClaimTable::slotKey(std::uint32_t number, std::size_t index) const
 {
-    return fmt::format("{}{}/{}", claimsPrefix(m_target), number, place);
+    return fmt::format("{}{}/{}", claimsPrefix(m_target), number, index);
 }
 
-std::string ClaimTable::textOf(const Slot &slot)
+std::string ClaimTable::serializeSlot(const Slot &slot)
 {
     return fmt::format("epoch {} {}\n{}", slot.epoch, slot.closedAt, slot.lines);
 }
 
-std::optional<ClaimTable::Slot> ClaimTable::parse(const std::string &text)
+std::optional<ClaimTable::Slot> ClaimTable::parseSlot(const std::string &text)
 {
     const auto end = text.find('\n');
-    const auto head = words(std::string_view(text).substr(0, end));
+    const auto head = splitWords(std::string_view(text).substr(0, end));
     Slot slot;
     if (end == std::string::npos || head.size() != 3 || head[0] != "epoch"
-        || !readNumber(head[1], &slot.epoch) || !readNumber(head[2], &slot.closedAt))
+        || !parseNumber(head[1], &slot.epoch) || !parseNumber(head[2], &slot.closedAt))
         return std::nullopt;
     slot.lines = text.substr(end + 1);
     return slot;
 }
 
-/// Takes out the claim of exactly this attempt. A later attempt of the same request may hold the
-/// key by now, claimed through another agent: its claim must stand.
+/// Erases the claim of exactly this attempt. A later attempt of the same request may have claimed
+/// the key through another agent since; its claim must remain.
 void ClaimTable::eraseOwner(std::map<std::string, Owner> *owners, const std::string &hash,
                             const Owner &owner)
 {
@@ -377,9 +380,9 @@
         const std::string_view line(part.begin(), part.end());
         if (line.empty())
             continue;
-        const auto fields = words(line.substr(1));
+        const auto fields = splitWords(line.substr(1));
         Owner owner;
-        if (fields.size() != 3 || !readNumber(fields[2], &owner.attempt))
+        if (fields.size() != 3 || !parseNumber(fields[2], &owner.attempt))
             continue;
         const auto id = parseRequestId(fields[1]);
         if (!id)
--- a/src/libreachlead/claimtable_test.cpp
+++ b/src/libreachlead/claimtable_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Objects with versions, as the platform keeps them.
+/// An object store with versions, like the platform's.
 class Store
 {
 public:
@@ -31,8 +31,8 @@
     {
         PlatformReply reply;
         const auto it = m_objects.find(write.key);
-        const ObjectVersion present = it == m_objects.end() ? ObjectVersion{} : it->second.version;
-        reply.status = present == write.expected ? PlatformStatus::Ok : PlatformStatus::Conflict;
+        const ObjectVersion current = it == m_objects.end() ? ObjectVersion{} : it->second.version;
+        reply.status = current == write.expected ? PlatformStatus::Ok : PlatformStatus::Conflict;
         if (reply.ok()) {
             reply.version = ObjectVersion{++m_version};
             m_objects[write.key] = {write.key, reply.version, write.value, false};
@@ -49,7 +49,7 @@
     std::uint64_t m_version = 0;
 };
 
-constexpr std::int64_t noon = 1'000'000;
+constexpr std::int64_t wallStart = 1'000'000;
 
 } // namespace
 
@@ -58,24 +58,24 @@
     CPPUNIT_TEST_SUITE(ClaimTableTest);
     CPPUNIT_TEST(firstClaimWins);
     CPPUNIT_TEST(lostReplyIsReadBack);
-    CPPUNIT_TEST(lostReplyThatDidNothingIsWrittenAgain);
+    CPPUNIT_TEST(lostWriteIsWrittenAgain);
     CPPUNIT_TEST(storeDownRefusesInTime);
-    CPPUNIT_TEST(refusedInDoubtIsGivenBack);
+    CPPUNIT_TEST(claimRefusedInDoubtIsReleased);
     CPPUNIT_TEST(oldViewLosesTheConflict);
     CPPUNIT_TEST(releasedKeyCanBeClaimed);
     CPPUNIT_TEST(lateReleaseSparesTheNextAttempt);
     CPPUNIT_TEST(manyClaimsShareAWrite);
-    CPPUNIT_TEST(slotsAreReusedOnlyAfterTheirLife);
+    CPPUNIT_TEST(slotsAreReusedOnlyAfterRetention);
     CPPUNIT_TEST(neverGrantedTwice);
     CPPUNIT_TEST_SUITE_END();
 
-    /// A book with the answers to its calls under the test's control.
+    /// An agent's claims, with the replies of the store controlled by the test.
     struct Agent
     {
         Store *store;
         ClaimTable book;
-        std::vector<ClaimAction> calls; ///< out, not answered yet
-        std::map<std::uint64_t, ClaimResult> ended; ///< by sequence of the request
+        std::vector<ClaimAction> calls; ///< pending, oldest first
+        std::map<std::uint64_t, ClaimResult> results; ///< by sequence of the request
 
         explicit Agent(Store *s, std::int64_t *wall, ClaimTuning tuning = {})
             : store(s), book(serviceTarget("yard"), tuning, [wall] { return *wall; })
@@ -84,14 +84,14 @@
         void collect()
         {
             for (ClaimAction &action : book.takeActions()) {
-                if (const auto *word = std::get_if<ClaimCompleted>(&action))
-                    ended[word->key.id.sequence] = word->result;
+                if (const auto *completed = std::get_if<ClaimCompleted>(&action))
+                    results[completed->key.id.sequence] = completed->result;
                 else
                     calls.push_back(std::move(action));
             }
         }
 
-        /// Carries out the oldest call at the store and gives back its reply, not yet told.
+        /// Executes the oldest pending call and returns its reply without delivering it.
         std::pair<ClaimCallId, PlatformReply> take()
         {
             const ClaimAction action = std::move(calls.front());
@@ -139,7 +139,7 @@
         return reply;
     }
 
-    std::int64_t m_wall = noon;
+    std::int64_t m_wall = wallStart;
     Store m_store;
 
     void firstClaimWins()
@@ -149,8 +149,8 @@
         agent.settle(start);
         agent.claim(2, "k", start + seconds(1));
         agent.settle(start + seconds(1));
-        CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::Granted);
-        CPPUNIT_ASSERT(agent.ended.at(2) == ClaimResult::Taken);
+        CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::Granted);
+        CPPUNIT_ASSERT(agent.results.at(2) == ClaimResult::Taken);
     }
 
     void lostReplyIsReadBack()
@@ -162,14 +162,14 @@
         auto [write, written] = agent.take();
         CPPUNIT_ASSERT(written.ok());
         agent.answer(write, withStatus(PlatformStatus::Indeterminate), start);
-        CPPUNIT_ASSERT(agent.ended.empty()); // nothing is told before it was read back
+        CPPUNIT_ASSERT(agent.results.empty()); // nothing is reported before the read-back
         agent.book.tick(start + seconds(1));
         agent.settle(start + seconds(1));
-        CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::Granted);
+        CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::Granted);
         CPPUNIT_ASSERT_EQUAL(1U, m_store.writes);
     }
 
-    void lostReplyThatDidNothingIsWrittenAgain()
+    void lostWriteIsWrittenAgain()
     {
         Agent agent(&m_store, &m_wall);
         agent.claim(1, "k", start);
@@ -177,11 +177,11 @@
         agent.answer(read, slots, start);
         const auto &write = std::get<WriteSlot>(agent.calls.front());
         const ClaimCallId call = write.call;
-        agent.calls.clear(); // never reached the store
+        agent.calls.clear(); // did not reach the store
         agent.answer(call, withStatus(PlatformStatus::Indeterminate), start);
         agent.book.tick(start + seconds(1));
         agent.settle(start + seconds(1));
-        CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::Granted);
+        CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::Granted);
         CPPUNIT_ASSERT_EQUAL(1U, m_store.writes);
     }
 
@@ -198,10 +198,10 @@
                 agent.answer(call, withStatus(PlatformStatus::Unavailable), now);
             }
         }
-        CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::StoreDown);
+        CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::StoreDown);
     }
 
-    void refusedInDoubtIsGivenBack()
+    void claimRefusedInDoubtIsReleased()
     {
         Agent agent(&m_store, &m_wall);
         agent.claim(1, "k", start);
@@ -212,15 +212,16 @@
         const Time late = start + seconds(3); // the store could not be read in time
         agent.book.tick(late);
         agent.collect();
-        CPPUNIT_ASSERT(agent.ended.at(1) == ClaimResult::StoreDown);
+        CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::StoreDown);
         agent.settle(late);
         agent.claim(2, "k", late + seconds(1));
         agent.book.tick(late + seconds(1));
         agent.settle(late + seconds(1));
-        CPPUNIT_ASSERT(agent.ended.at(2) == ClaimResult::Granted);
+        CPPUNIT_ASSERT(agent.results.at(2) == ClaimResult::Granted);
     }
 
-    /// An agent that stood still after its read writes over nothing.
+    /// An agent that is suspended between its read and its write must not overwrite the claim that
+    /// another agent wrote meanwhile.
     void oldViewLosesTheConflict()
     {
         Agent slow(&m_store, &m_wall);
@@ -229,10 +230,10 @@
         auto [read, slots] = slow.take();
         fast.claim(2, "k", start);
         fast.settle(start);
-        CPPUNIT_ASSERT(fast.ended.at(2) == ClaimResult::Granted);
-        slow.answer(read, slots, start); // it wakes with what it read before
+        CPPUNIT_ASSERT(fast.results.at(2) == ClaimResult::Granted);
+        slow.answer(read, slots, start); // resumes with an outdated view
         slow.settle(start);
-        CPPUNIT_ASSERT(slow.ended.at(1) == ClaimResult::Taken);
+        CPPUNIT_ASSERT(slow.results.at(1) == ClaimResult::Taken);
     }
 
     void releasedKeyCanBeClaimed()
@@ -245,11 +246,11 @@
         Agent other(&m_store, &m_wall);
         other.claim(2, "k", start + seconds(2));
         other.settle(start + seconds(2));
-        CPPUNIT_ASSERT(other.ended.at(2) == ClaimResult::Granted);
+        CPPUNIT_ASSERT(other.results.at(2) == ClaimResult::Granted);
     }
 
-    /// The first attempt was refused as not run; its release is written after the second attempt
-    /// claimed the key through another agent.
+    /// The first attempt was refused as not run. Its release is written after the second attempt
+    /// has claimed the key through another agent, and must not erase that claim.
     void lateReleaseSparesTheNextAttempt()
     {
         Agent first(&m_store, &m_wall);
@@ -265,7 +266,7 @@
         Agent third(&m_store, &m_wall);
         third.claim(9, "k", start + seconds(3));
         third.settle(start + seconds(3));
-        CPPUNIT_ASSERT(third.ended.at(9) == ClaimResult::Taken);
+        CPPUNIT_ASSERT(third.results.at(9) == ClaimResult::Taken);
     }
 
     void manyClaimsShareAWrite()
@@ -274,28 +275,28 @@
         for (std::uint64_t n = 0; n < 3200; ++n)
             agent.claim(n, fmt::format("key-{}", n), start);
         agent.settle(start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3200}, agent.ended.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3200}, agent.results.size());
         CPPUNIT_ASSERT_EQUAL(claimPartitionCount, m_store.writes);
     }
 
-    void slotsAreReusedOnlyAfterTheirLife()
+    void slotsAreReusedOnlyAfterRetention()
     {
         ClaimTuning tuning;
-        tuning.slots = 3;
-        tuning.slotBytes = 1; // each write closes its slot
+        tuning.slotCount = 3;
+        tuning.maxSlotBytes = 1; // each write closes its slot
         Agent agent(&m_store, &m_wall, tuning);
         Time now = start;
         std::vector<ClaimResult> results;
-        // The same partition each time: the same key with its request given back before.
+        // The same key each time, so that all claims are in one partition.
         for (std::uint64_t n = 0; n < 4; ++n) {
             now += seconds(1);
             agent.claim(n, "k", now);
             agent.settle(now);
-            results.push_back(agent.ended.at(n));
+            results.push_back(agent.results.at(n));
         }
         CPPUNIT_ASSERT(results[0] == ClaimResult::Granted);
         CPPUNIT_ASSERT(results[1] == ClaimResult::Taken);
-        // Fill the ring with releases, then with nothing left to write over.
+        // Fill the ring with releases until no slot can be overwritten.
         for (std::uint64_t n = 10; n < 14; ++n) {
             now += seconds(1);
             agent.release(n == 10 ? 0 : n, "k", now);
@@ -304,25 +305,25 @@
         now += seconds(1);
         agent.claim(20, "k", now);
         agent.settle(now);
-        CPPUNIT_ASSERT(agent.ended.at(20) == ClaimResult::StoreDown);
-        m_wall += 901; // the life of a claim is over
+        CPPUNIT_ASSERT(agent.results.at(20) == ClaimResult::StoreDown);
+        m_wall += 901; // the retention of claims has passed
         now += seconds(901);
         agent.claim(21, "k", now);
         agent.settle(now);
-        CPPUNIT_ASSERT(agent.ended.at(21) == ClaimResult::Granted);
+        CPPUNIT_ASSERT(agent.results.at(21) == ClaimResult::Granted);
         CPPUNIT_ASSERT(m_store.objects() <= 3);
     }
 
-    /// Two agents, random faults of the store: a key is granted at most once, unless given back.
+    /// Two agents and random store faults: a key is granted at most once.
     void neverGrantedTwice()
     {
-        const bool good = rc::check("a key is granted once", [] {
-            std::int64_t wall = noon;
+        const bool holds = rc::check("a key is granted once", [] {
+            std::int64_t wall = wallStart;
             Store store;
             std::array<Agent, 2> agents{Agent(&store, &wall), Agent(&store, &wall)};
             Time now = start;
             std::uint64_t sequence = 0;
-            std::map<std::uint64_t, std::string> keyOf;
+            std::map<std::uint64_t, std::string> keyBySequence;
             const auto steps =
                 *rc::gen::container<std::vector<unsigned>>(60, rc::gen::inRange<unsigned>(0, 60));
             for (const unsigned step : steps) {
@@ -330,12 +331,12 @@
                 now += milliseconds(50);
                 agent.book.tick(now);
                 agent.collect();
-                const unsigned what = step / 2;
-                if (what < 6) {
-                    keyOf[++sequence] = fmt::format("k{}", what % 2);
-                    agent.claim(sequence, keyOf[sequence], now);
+                const unsigned operation = step / 2;
+                if (operation < 6) {
+                    keyBySequence[++sequence] = fmt::format("k{}", operation % 2);
+                    agent.claim(sequence, keyBySequence[sequence], now);
                 } else if (!agent.calls.empty()) {
-                    if (what % 7 == 0) { // lost before it took effect
+                    if (operation % 7 == 0) { // lost before it took effect
                         const ClaimAction action = agent.calls.front();
                         agent.calls.erase(agent.calls.begin());
                         const auto *read = std::get_if<ReadSlots>(&action);
@@ -344,7 +345,7 @@
                         agent.answer(call, withStatus(PlatformStatus::Indeterminate), now);
                     } else {
                         auto [call, reply] = agent.take();
-                        if (what % 7 == 1) // lost after it took effect
+                        if (operation % 7 == 1) // lost after it took effect
                             reply = withStatus(PlatformStatus::Indeterminate);
                         agent.answer(call, reply, now);
                     }
@@ -352,13 +353,13 @@
             }
             std::map<std::string, unsigned> granted;
             for (const Agent &agent : agents) {
-                for (const auto &[id, result] : agent.ended)
-                    granted[keyOf.at(id)] += result == ClaimResult::Granted ? 1 : 0;
+                for (const auto &[id, result] : agent.results)
+                    granted[keyBySequence.at(id)] += result == ClaimResult::Granted ? 1 : 0;
             }
             for (const auto &[key, times] : granted)
                 RC_ASSERT(times <= 1U);
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(holds);
     }
 };
 
