--- a/src/include/reachlead/crashhandler.h
+++ b/src/include/reachlead/crashhandler.h
@@ -2,15 +2,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a process that crashes still says.
+/// Crash reports on fatal signals.
 
 #pragma once
 
 namespace reachlead {
 
-/// From now on a fatal signal (SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT) writes one log line and
-/// the addresses of the calls under way to standard output, and then ends the process as it would
-/// have. `addr2line -Cfe PROGRAM ADDRESS` names the places. Call once, at the start.
+/// Installs a handler for fatal signals (SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT) that writes one
+/// log line and a backtrace to standard output before the default action ends the process.
+/// `addr2line -Cfe PROGRAM ADDRESS` resolves the addresses. Call once at start-up.
 void installCrashHandler();
 
 } // namespace reachlead
--- a/src/include/reachlead/requestdigest.h
+++ b/src/include/reachlead/requestdigest.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Names a request by its content, so that it is known again when it comes once more.
+/// Identifies a request by its content, so that a repeated request is recognized.
 
 #pragma once
 
@@ -17,15 +17,15 @@
 
 namespace reachlead {
 
-/// The content of a request. Equal for equal requests of one account, whatever the attempt, the
-/// connection and the gateway.
+/// A digest of a request's content. Equal for equal requests of one account, whatever the attempt,
+/// the connection and the gateway.
 struct RequestDigest
 {
-    /// A fast hash of path and body: tells most other requests apart before the proof is made,
-    /// which takes some twenty times as long.
+    /// A fast hash of path and body. Rules out most other requests before the secure hash is
+    /// computed, which takes some twenty times as long.
     std::uint64_t fastHash = 0;
-    /// A part of a cryptographic hash of all: accounts do not trust each other, and none can make a
-    /// request that counts as another one's.
+    /// A truncated cryptographic hash of all fields: accounts do not trust each other, and none may
+    /// forge a request that is counted as another account's.
     std::uint64_t secureHash = 0;
 
     auto operator<=>(const RequestDigest &) const = default;
@@ -33,7 +33,8 @@
     template <class Archive> void serialize(Archive &ar) { ar(fastHash, secureHash); }
 };
 
-/// What a digest covers. The method is left out: an upstream is handed the same work by it.
+/// The fields that a digest covers. The method is left out, as it does not change the work that an
+/// upstream is given.
 struct RequestContent
 {
     AccountName account; ///< empty where the route needs none
@@ -44,13 +45,13 @@
 
 RequestDigest computeDigest(const RequestContent &content);
 
-/// RequestDigest::mark alone.
+/// Computes RequestDigest::fastHash only.
 std::uint64_t computeFastHash(const RequestContent &content);
 
-/// 32 hex digits, as logs and the platform's store have it.
+/// 32 hex digits, as used in logs and in the platform's store.
 std::string toString(const RequestDigest &digest);
 
-/// Reads what toString() wrote; nothing for a text of another shape.
+/// Parses the format of toString(); returns nothing for any other text.
 std::optional<RequestDigest> parseRequestDigest(std::string_view text);
 
 } // namespace reachlead
--- a/src/libreachlead/crashhandler.cpp
+++ b/src/libreachlead/crashhandler.cpp
@@ -14,36 +14,36 @@
 
 namespace {
 
-constexpr std::size_t mostFrames = 48; ///< deeper calls repeat the event loop
+constexpr std::size_t maxFrames = 48; ///< deeper frames belong to the event loop
 
-void say(std::string_view text)
+void writeToStdout(std::string_view text)
 {
-    // Nothing can be done about a log that does not take it.
+    // A failed write cannot be reported.
     [[maybe_unused]] const ssize_t n = ::write(STDOUT_FILENO, text.data(), text.size());
 }
 
-/// Calls nothing that allocates: the heap may be what is broken.
-void onFatal(int signal)
+/// Must not allocate, as the heap may be corrupt.
+void handleFatalSignal(int signal)
 {
-    say("level=error event=crashed signal=");
+    writeToStdout("level=error event=crashed signal=");
     const std::array<char, 3> digits{static_cast<char>('0' + signal / 10),
                                      static_cast<char>('0' + signal % 10), '\n'};
-    say({digits.data(), digits.size()});
-    std::array<void *, mostFrames> frames{};
+    writeToStdout({digits.data(), digits.size()});
+    std::array<void *, maxFrames> frames{};
     const int depth = ::backtrace(frames.data(), static_cast<int>(frames.size()));
     ::backtrace_symbols_fd(frames.data(), depth, STDOUT_FILENO);
-    (void)std::raise(signal); // SA_RESETHAND: the default now
+    (void)std::raise(signal); // SA_RESETHAND has restored the default action
 }
 
 } // namespace
 
 void installCrashHandler()
 {
-    // The first call loads a library, which must not happen inside the handler.
+    // The first call of backtrace() loads a library, which is not safe inside a signal handler.
     std::array<void *, 1> frames{};
     ::backtrace(frames.data(), static_cast<int>(frames.size()));
     struct sigaction action = {};
-    action.sa_handler = onFatal;
+    action.sa_handler = handleFatalSignal;
     action.sa_flags = static_cast<int>(SA_RESETHAND);
     for (const int signal : {SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT})
         ::sigaction(signal, &action, nullptr);
--- a/src/libreachlead/crashtracker.cpp
+++ b/src/libreachlead/crashtracker.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// An upstream that ended is not counted twice; beyond the limit the count says nothing more.
-constexpr std::size_t mostEndsKept = 2 * CrashTracker::crashLimit;
+/// Crashed incarnations kept per suspect, so that none is counted twice. More than the limit are
+/// not needed.
+constexpr std::size_t maxCrashesKept = 2 * CrashTracker::crashLimit;
 
 } // namespace
 
@@ -21,44 +22,44 @@
 {
     dropExpired(now);
     if (!m_suspects.contains(request))
-        makeRoom();
+        evictOldestSuspect();
     Suspect &suspect = m_suspects[request];
-    suspect.last = now;
-    if (suspect.ended.size() < mostEndsKept)
-        suspect.ended.insert(upstream);
-    if (suspect.ended.size() < crashLimit || remainingQuarantine(request, now))
+    suspect.lastCrashAt = now;
+    if (suspect.crashed.size() < maxCrashesKept)
+        suspect.crashed.insert(upstream);
+    if (suspect.crashed.size() < crashLimit || remainingQuarantine(request, now))
         return false;
-    keep(request, now + quarantineDuration, now);
+    addQuarantine(request, now + quarantineDuration, now);
     return true;
 }
 
-bool CrashTracker::mayContain(std::uint64_t mark) const
+bool CrashTracker::mayContain(std::uint64_t fastHash) const
 {
-    const auto isIn = [mark](const auto &requests) {
-        const auto it = requests.lower_bound(RequestDigest{mark, 0});
-        return it != requests.end() && it->first.fastHash == mark;
+    const auto containsHash = [fastHash](const auto &requests) {
+        const auto it = requests.lower_bound(RequestDigest{fastHash, 0});
+        return it != requests.end() && it->first.fastHash == fastHash;
     };
-    return isIn(m_suspects) || isIn(m_quarantined);
+    return containsHash(m_suspects) || containsHash(m_quarantined);
 }
 
 void CrashTracker::dropExpired(Time now)
 {
     std::erase_if(m_suspects,
-                  [&](const auto &it) { return it.second.last + suspectRetention < now; });
+                  [&](const auto &it) { return it.second.lastCrashAt + suspectRetention < now; });
     std::erase_if(m_quarantined, [&](const auto &it) { return it.second <= now; });
 }
 
-/// Drops the suspect whose last end is longest ago, where there are too many.
-void CrashTracker::makeRoom()
+/// Evicts the suspect with the oldest last crash when there are too many.
+void CrashTracker::evictOldestSuspect()
 {
     if (m_suspects.size() < maxSuspects)
         return;
-    const auto oldest =
-        std::ranges::min_element(m_suspects, {}, [](const auto &it) { return it.second.last; });
+    const auto oldest = std::ranges::min_element(
+        m_suspects, {}, [](const auto &it) { return it.second.lastCrashAt; });
     m_suspects.erase(oldest);
 }
 
-void CrashTracker::keep(const RequestDigest &request, Time until, Time now)
+void CrashTracker::addQuarantine(const RequestDigest &request, Time until, Time now)
 {
     dropExpired(now);
     m_quarantined[request] = until;
@@ -67,11 +68,11 @@
             std::ranges::min_element(m_quarantined, {}, [](const auto &it) { return it.second; }));
 }
 
-bool CrashTracker::mergeQuarantine(const RequestDigest &request, Duration left, Time now)
+bool CrashTracker::mergeQuarantine(const RequestDigest &request, Duration remaining, Time now)
 {
-    if (left <= Duration::zero() || remainingQuarantine(request, now))
+    if (remaining <= Duration::zero() || remainingQuarantine(request, now))
         return false;
-    keep(request, now + std::min<Duration>(left, quarantineDuration), now);
+    addQuarantine(request, now + std::min<Duration>(remaining, quarantineDuration), now);
     return true;
 }
 
@@ -102,12 +103,12 @@
 
 std::uint64_t CrashTracker::checksum(Time now) const
 {
-    std::uint64_t mark = 0;
+    std::uint64_t sum = 0;
     for (const auto &[request, until] : m_quarantined) {
         if (until > now)
-            mark ^= request.fastHash ^ request.secureHash;
+            sum ^= request.fastHash ^ request.secureHash;
     }
-    return mark;
+    return sum;
 }
 
 } // namespace reachlead
--- a/src/libreachlead/crashtracker_test.cpp
+++ b/src/libreachlead/crashtracker_test.cpp
@@ -12,21 +12,21 @@
 
 namespace reachlead {
 
-/// Which requests are kept from upstreams, and for how long.
+/// Tests which requests are quarantined, and for how long.
 class CrashTrackerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashTrackerTest);
-    CPPUNIT_TEST(contentNamesARequest);
-    CPPUNIT_TEST(digestComesBackFromItsText);
-    CPPUNIT_TEST(thirdUpstreamBeginsTheQuarantine);
+    CPPUNIT_TEST(digestIdentifiesContent);
+    CPPUNIT_TEST(digestRoundTripsThroughText);
+    CPPUNIT_TEST(thirdCrashStartsQuarantine);
     CPPUNIT_TEST(oneUpstreamCountsOnce);
     CPPUNIT_TEST(requestThatCompletesIsCleared);
-    CPPUNIT_TEST(oneMoreEndRenewsAQuarantine);
-    CPPUNIT_TEST(endsFarApartDoNotAddUp);
-    CPPUNIT_TEST(whatOthersSayIsBounded);
-    CPPUNIT_TEST(manySuspectsTakeNoMoreRoom);
-    CPPUNIT_TEST(marksAgreeWhereQuarantinesDo);
-    CPPUNIT_TEST(anyOrderOfWordsLeadsToTheSame);
+    CPPUNIT_TEST(oneMoreCrashRenewsQuarantine);
+    CPPUNIT_TEST(crashesFarApartDoNotAddUp);
+    CPPUNIT_TEST(mergedQuarantinesAreBounded);
+    CPPUNIT_TEST(suspectsAreBounded);
+    CPPUNIT_TEST(equalQuarantinesHaveEqualChecksums);
+    CPPUNIT_TEST(orderOfReportsDoesNotMatter);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(1000)};
@@ -36,16 +36,16 @@
         return computeDigest({AccountName(account), "h", "/p", body});
     }
 
-    /// A book with so many upstreams ended under a request.
-    static CrashTracker bookWith(std::string_view body, std::size_t ends)
+    /// A tracker with the given number of upstreams crashed under a request.
+    static CrashTracker trackerWith(std::string_view body, std::size_t crashes)
     {
-        CrashTracker book;
-        for (std::size_t n = 0; n < ends; ++n)
-            book.recordCrash(request(body), static_cast<UpstreamHash>(n), start);
-        return book;
+        CrashTracker tracker;
+        for (std::size_t n = 0; n < crashes; ++n)
+            tracker.recordCrash(request(body), static_cast<UpstreamHash>(n), start);
+        return tracker;
     }
 
-    void contentNamesARequest()
+    void digestIdentifiesContent()
     {
         CPPUNIT_ASSERT(request("x") == request("x"));
         CPPUNIT_ASSERT(request("x") != request("y"));
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(joined != request("x"));
     }
 
-    void digestComesBackFromItsText()
+    void digestRoundTripsThroughText()
     {
         const RequestDigest digest = request("x");
         CPPUNIT_ASSERT(parseRequestDigest(toString(digest)) == digest);
@@ -62,84 +62,87 @@
             CPPUNIT_ASSERT(!parseRequestDigest(text));
     }
 
-    void thirdUpstreamBeginsTheQuarantine()
+    void thirdCrashStartsQuarantine()
     {
-        CrashTracker book = bookWith("bad", 2);
-        CPPUNIT_ASSERT(!book.remainingQuarantine(request("bad"), start));
-        CPPUNIT_ASSERT(book.recordCrash(request("bad"), 2, start));
-        CPPUNIT_ASSERT(book.remainingQuarantine(request("bad"), start)
+        CrashTracker tracker = trackerWith("bad", 2);
+        CPPUNIT_ASSERT(!tracker.remainingQuarantine(request("bad"), start));
+        CPPUNIT_ASSERT(tracker.recordCrash(request("bad"), 2, start));
+        CPPUNIT_ASSERT(tracker.remainingQuarantine(request("bad"), start)
                        == CrashTracker::quarantineDuration);
-        CPPUNIT_ASSERT(!book.recordCrash(request("bad"), 3, start)); // known already
-        CPPUNIT_ASSERT(!book.remainingQuarantine(request("good"), start));
+        CPPUNIT_ASSERT(!tracker.recordCrash(request("bad"), 3, start)); // quarantined already
+        CPPUNIT_ASSERT(!tracker.remainingQuarantine(request("good"), start));
         CPPUNIT_ASSERT(
-            !book.remainingQuarantine(request("bad"), start + CrashTracker::quarantineDuration));
+            !tracker.remainingQuarantine(request("bad"), start + CrashTracker::quarantineDuration));
     }
 
     void oneUpstreamCountsOnce()
     {
-        CrashTracker book;
+        CrashTracker tracker;
         for (int n = 0; n < 10; ++n)
-            CPPUNIT_ASSERT(!book.recordCrash(request("bad"), 7, start));
+            CPPUNIT_ASSERT(!tracker.recordCrash(request("bad"), 7, start));
     }
 
-    /// It ran beside another one, and its upstream was lost for that one's sake.
+    /// A request that ran beside the one that crashed its upstreams must not be quarantined once it
+    /// has completed elsewhere.
     void requestThatCompletesIsCleared()
     {
-        CrashTracker book = bookWith("beside", 2);
-        book.recordCompletion(request("beside"));
-        CPPUNIT_ASSERT(!book.isSuspect(request("beside")));
-        CPPUNIT_ASSERT(!book.recordCrash(request("beside"), 2, start));
+        CrashTracker tracker = trackerWith("beside", 2);
+        tracker.recordCompletion(request("beside"));
+        CPPUNIT_ASSERT(!tracker.isSuspect(request("beside")));
+        CPPUNIT_ASSERT(!tracker.recordCrash(request("beside"), 2, start));
     }
 
-    void oneMoreEndRenewsAQuarantine()
+    void oneMoreCrashRenewsQuarantine()
     {
-        CrashTracker book = bookWith("bad", 3);
+        CrashTracker tracker = trackerWith("bad", 3);
         const Time after = start + CrashTracker::quarantineDuration + seconds(1);
-        CPPUNIT_ASSERT(book.isQuarantineEmpty(after));
-        CPPUNIT_ASSERT(book.recordCrash(request("bad"), 9, after));
-        CPPUNIT_ASSERT(book.remainingQuarantine(request("bad"), after).has_value());
+        CPPUNIT_ASSERT(tracker.isQuarantineEmpty(after));
+        CPPUNIT_ASSERT(tracker.recordCrash(request("bad"), 9, after));
+        CPPUNIT_ASSERT(tracker.remainingQuarantine(request("bad"), after).has_value());
     }
 
-    /// Upstreams end now and then, and a popular request is always in flight somewhere.
-    void endsFarApartDoNotAddUp()
+    /// A popular request is always in flight somewhere, so occasional crashes of unrelated
+    /// upstreams must not quarantine it.
+    void crashesFarApartDoNotAddUp()
     {
-        CrashTracker book;
+        CrashTracker tracker;
         Time now = start;
         for (UpstreamHash upstream = 0; upstream < 10; ++upstream) {
-            CPPUNIT_ASSERT(!book.recordCrash(request("popular"), upstream, now));
+            CPPUNIT_ASSERT(!tracker.recordCrash(request("popular"), upstream, now));
             now += CrashTracker::suspectRetention + seconds(1);
         }
-        book.dropExpired(now);
-        CPPUNIT_ASSERT(book.isEmpty());
+        tracker.dropExpired(now);
+        CPPUNIT_ASSERT(tracker.isEmpty());
     }
 
-    void whatOthersSayIsBounded()
+    void mergedQuarantinesAreBounded()
     {
-        CrashTracker book;
-        CPPUNIT_ASSERT(!book.mergeQuarantine(request("bad"), Duration{}, start));
-        CPPUNIT_ASSERT(book.mergeQuarantine(request("bad"), std::chrono::hours(100), start));
-        CPPUNIT_ASSERT(!book.mergeQuarantine(request("bad"), seconds(5), start));
-        CPPUNIT_ASSERT(book.remainingQuarantine(request("bad"), start)
+        CrashTracker tracker;
+        CPPUNIT_ASSERT(!tracker.mergeQuarantine(request("bad"), Duration{}, start));
+        CPPUNIT_ASSERT(tracker.mergeQuarantine(request("bad"), std::chrono::hours(100), start));
+        CPPUNIT_ASSERT(!tracker.mergeQuarantine(request("bad"), seconds(5), start));
+        CPPUNIT_ASSERT(tracker.remainingQuarantine(request("bad"), start)
                        == CrashTracker::quarantineDuration);
         for (std::size_t n = 0; n < 2 * CrashTracker::maxQuarantined; ++n)
-            book.mergeQuarantine(request(std::to_string(n)), seconds(1 + n), start);
-        CPPUNIT_ASSERT_EQUAL(CrashTracker::maxQuarantined, book.quarantined(start).size());
-        CPPUNIT_ASSERT(book.remainingQuarantine(request("bad"), start).has_value());
+            tracker.mergeQuarantine(request(std::to_string(n)), seconds(1 + n), start);
+        CPPUNIT_ASSERT_EQUAL(CrashTracker::maxQuarantined, tracker.quarantined(start).size());
+        CPPUNIT_ASSERT(tracker.remainingQuarantine(request("bad"), start).has_value());
     }
 
-    /// Engines that end in numbers take many calls with them, none of which did anything.
-    void manySuspectsTakeNoMoreRoom()
+    /// Many engines that crash at once leave many suspects that caused none of the crashes. They
+    /// must not take more memory.
+    void suspectsAreBounded()
     {
-        CrashTracker book = bookWith("old", 2);
+        CrashTracker tracker = trackerWith("old", 2);
         for (std::size_t n = 0; n < 2 * CrashTracker::maxSuspects; ++n)
-            book.recordCrash(request(std::to_string(n)), 1, start + milliseconds(n + 1));
-        CPPUNIT_ASSERT_EQUAL(CrashTracker::maxSuspects, book.suspects());
-        CPPUNIT_ASSERT(!book.isSuspect(request("old")));
+            tracker.recordCrash(request(std::to_string(n)), 1, start + milliseconds(n + 1));
+        CPPUNIT_ASSERT_EQUAL(CrashTracker::maxSuspects, tracker.suspects());
+        CPPUNIT_ASSERT(!tracker.isSuspect(request("old")));
     }
 
-    void marksAgreeWhereQuarantinesDo()
+    void equalQuarantinesHaveEqualChecksums()
     {
-        CrashTracker one = bookWith("bad", 3);
+        CrashTracker one = trackerWith("bad", 3);
         CrashTracker other;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, other.checksum(start));
         CPPUNIT_ASSERT(one.checksum(start) != other.checksum(start));
@@ -150,36 +153,36 @@
                              one.checksum(start + CrashTracker::quarantineDuration));
     }
 
-    /// Datagrams overtake each other: what is in quarantine depends on what was told alone.
-    void anyOrderOfWordsLeadsToTheSame()
+    /// Datagrams may be reordered, so the quarantine must not depend on the order of the reports.
+    void orderOfReportsDoesNotMatter()
     {
-        const bool good = rc::check("order of ends", [] {
-            auto ends = *rc::gen::container<std::vector<std::pair<int, unsigned>>>(
+        const bool holds = rc::check("order of crashes", [] {
+            auto crashes = *rc::gen::container<std::vector<std::pair<int, unsigned>>>(
                 rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0U, 5U)));
-            const auto computeFastHash = [](const std::vector<std::pair<int, unsigned>> &all) {
-                CrashTracker book;
+            const auto checksumAfter = [](const std::vector<std::pair<int, unsigned>> &all) {
+                CrashTracker tracker;
                 for (const auto &[content, upstream] : all)
-                    book.recordCrash(request(std::to_string(content)), upstream, start);
-                return book.checksum(start);
+                    tracker.recordCrash(request(std::to_string(content)), upstream, start);
+                return tracker.checksum(start);
             };
-            const std::uint64_t mark = computeFastHash(ends);
-            std::ranges::reverse(ends);
-            RC_ASSERT(computeFastHash(ends) == mark);
+            const std::uint64_t checksum = checksumAfter(crashes);
+            std::ranges::reverse(crashes);
+            RC_ASSERT(checksumAfter(crashes) == checksum);
             for (int content = 0; content < 4; ++content) {
                 std::set<unsigned> distinct;
-                for (const auto &[it, upstream] : ends) {
+                for (const auto &[it, upstream] : crashes) {
                     if (it == content)
                         distinct.insert(upstream);
                 }
-                CrashTracker book;
-                for (const auto &[it, upstream] : ends)
-                    book.recordCrash(request(std::to_string(it)), upstream, start);
+                CrashTracker tracker;
+                for (const auto &[it, upstream] : crashes)
+                    tracker.recordCrash(request(std::to_string(it)), upstream, start);
                 RC_ASSERT(
-                    book.remainingQuarantine(request(std::to_string(content)), start).has_value()
+                    tracker.remainingQuarantine(request(std::to_string(content)), start).has_value()
                     == (distinct.size() >= CrashTracker::crashLimit));
             }
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(holds);
     }
 };
 
--- a/src/libreachlead/requestdigest.cpp
+++ b/src/libreachlead/requestdigest.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-constexpr std::size_t wordDigits = 16;
+constexpr std::size_t hexDigitsPerWord = 16;
 
 using Hash = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
 
-/// Adds a text with its length ahead, so that no two lists of texts look alike.
-void add(const Hash &hash, std::string_view text)
+/// Hashes a field after its length, so that different lists of fields never give the same input.
+void hashField(const Hash &hash, std::string_view text)
 {
     const std::uint64_t size = text.size();
     EVP_DigestUpdate(hash.get(), &size, sizeof size);
     EVP_DigestUpdate(hash.get(), text.data(), text.size());
 }
 
-std::optional<std::uint64_t> parseWord(std::string_view text)
+std::optional<std::uint64_t> parseHexWord(std::string_view text)
 {
     constexpr int base = 16;
     std::uint64_t word = 0;
@@ -44,10 +44,10 @@
 {
     const Hash hash(EVP_MD_CTX_new(), &EVP_MD_CTX_free);
     EVP_DigestInit_ex(hash.get(), EVP_sha256(), nullptr);
-    add(hash, content.account.text);
-    add(hash, content.host);
-    add(hash, content.target);
-    add(hash, content.body);
+    hashField(hash, content.account.text);
+    hashField(hash, content.host);
+    hashField(hash, content.target);
+    hashField(hash, content.body);
     std::array<unsigned char, EVP_MAX_MD_SIZE> bytes{};
     EVP_DigestFinal_ex(hash.get(), bytes.data(), nullptr);
     RequestDigest digest;
@@ -69,10 +69,10 @@
 
 std::optional<RequestDigest> parseRequestDigest(std::string_view text)
 {
-    if (text.size() != 2 * wordDigits)
+    if (text.size() != 2 * hexDigitsPerWord)
         return std::nullopt;
-    const auto first = parseWord(text.substr(0, wordDigits));
-    const auto second = parseWord(text.substr(wordDigits));
+    const auto first = parseHexWord(text.substr(0, hexDigitsPerWord));
+    const auto second = parseHexWord(text.substr(hexDigitsPerWord));
     if (!first || !second)
         return std::nullopt;
     return RequestDigest{*first, *second};
