--- a/src/include/reachlead/circuit.h
+++ b/src/include/reachlead/circuit.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The circuit breaker before one upstream: a Boost.MSM machine behind a plain face.
+/// The circuit breaker of one upstream, implemented as a Boost.MSM state machine.
 
 #pragma once
 
@@ -12,24 +12,24 @@
 
 namespace reachlead {
 
-/// Keeps requests from an upstream that fails again and again. Not thread-safe.
+/// Stops sending requests to an upstream that fails repeatedly. Not thread-safe.
 ///
-/// Closed: requests pass. Open: none pass until the pause ends. Half-open: one request passes as
-/// a probe; its end closes or opens the circuit.
+/// Closed: requests are allowed. Open: none are allowed until the open duration has elapsed.
+/// Half-open: one request is allowed as a probe; its result closes or reopens the circuit.
 class Circuit
 {
 public:
-    /// Failures in a row that open the circuit.
+    /// Consecutive failures that open the circuit.
     static constexpr unsigned failuresToOpen = 3;
-    /// The first pause; it doubles up to the longest.
+    /// How long the circuit stays open the first time; doubles up to the maximum.
     static constexpr Duration initialOpenDuration = seconds(1);
     static constexpr Duration maxOpenDuration = seconds(30);
 
-    /// How soon it opens, and for how long.
     struct Settings
     {
-        unsigned failuresToOpen = Circuit::failuresToOpen; ///< in a row
-        Duration initialOpenDuration = Circuit::initialOpenDuration; ///< doubles up to longestPause
+        unsigned failuresToOpen = Circuit::failuresToOpen; ///< consecutive
+        Duration initialOpenDuration =
+            Circuit::initialOpenDuration; ///< doubles up to maxOpenDuration
         Duration maxOpenDuration = Circuit::maxOpenDuration;
     };
 
@@ -45,16 +45,17 @@
     /// A request was sent.
     void sent();
 
-    /// A request ended well.
+    /// A request succeeded.
     void succeeded();
 
     /// A request failed at the upstream.
     void failed(Time now);
 
-    /// Nobody listens at the upstream's address: opens at once.
+    /// The upstream's address refused a connection, as no process listens there: opens at once.
     void connectionRefused(Time now);
 
-    /// A request ended without word on the upstream's health, as when its caller went away.
+    /// A request ended with no information on the upstream's health, for example because its
+    /// caller disconnected.
     void abandoned();
 
     /// `closed`, `open` or `half-open`.
--- a/src/include/reachlead/retryshare.h
+++ b/src/include/reachlead/retryshare.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One gateway's share of the retries that the whole fleet may make to a service.
+/// One gateway's share of the retries that the fleet may send to a service.
 
 #pragma once
 
@@ -16,58 +16,58 @@
 
 namespace reachlead {
 
-/// What the fleet may make of repeats, and this gateway's part of it.
+/// Limits on the retries of the whole fleet.
 struct RetryBounds
 {
-    double ratio = 0.2; ///< repeats for each first send
-    double slack = 50.0; ///< repeats besides, of the whole fleet in one window
+    double ratio = 0.2; ///< retries per first send
+    double slack = 50.0; ///< retries beyond the ratio, by the whole fleet in one window
     Duration window = seconds(10);
 };
 
-/// Counts first sends and repeats in a sliding window. Not thread-safe, reads no clock.
+/// Counts first sends and retries in a sliding window. Not thread-safe, reads no clock.
 ///
-/// Gateways do not ask each other: each takes the ratio on its own first sends, and its equal part
-/// of the slack. Both are used up to safetyFactor, as a window of the whole fleet does not begin
-/// when this gateway's does.
+/// Gateways do not coordinate: each applies the ratio to its own first sends and takes an equal
+/// share of the slack. Both are scaled by safetyFactor, as the windows of the gateways are not
+/// aligned.
 class RetryShare
 {
 public:
     explicit RetryShare(RetryBounds bounds = {}) : m_bounds(bounds) { }
 
-    /// How many gateways there are, this one included.
+    /// Sets the number of gateways, including this one.
     void setGatewayCount(std::size_t n) { m_gateways = n == 0 ? 1 : n; }
 
-    /// A call was sent to its first upstream.
+    /// Counts a call sent to its first upstream.
     void recordFirstSend(const ServiceName &service, Time now);
 
-    /// Takes one repeat; false when the share is used up.
+    /// Takes one retry from the share; returns false when it is exhausted.
     bool take(const ServiceName &service, Time now);
 
-    /// Repeats still to be had.
+    /// Retries left in the share.
     double remaining(const ServiceName &service, Time now);
 
     static constexpr double safetyFactor = 0.75;
 
 private:
-    /// Sends in a span of the window; spans bound the memory whatever the rate.
-    struct Span
+    /// Sends in one part of the window. Buckets bound the memory at any rate.
+    struct Bucket
     {
         Time begin;
-        std::uint32_t firsts = 0;
-        std::uint32_t repeats = 0;
+        std::uint32_t firstSends = 0;
+        std::uint32_t retries = 0;
     };
-    struct Book
+    struct History
     {
-        std::deque<Span> spans;
+        std::deque<Bucket> buckets;
     };
 
-    static constexpr int spansPerWindow = 20;
+    static constexpr int bucketsPerWindow = 20;
 
-    Span &current(const ServiceName &service, Time now);
+    Bucket &currentBucket(const ServiceName &service, Time now);
 
     RetryBounds m_bounds;
     std::size_t m_gateways = 1;
-    std::unordered_map<ServiceName, Book> m_books;
+    std::unordered_map<ServiceName, History> m_histories;
 };
 
 } // namespace reachlead
--- a/src/libreachlead/circuit.cpp
+++ b/src/libreachlead/circuit.cpp
@@ -22,7 +22,7 @@
 };
 struct Succeeded
 { };
-struct Asked
+struct Checked
 {
     Time at;
 };
@@ -44,9 +44,9 @@
 
     unsigned failuresInRow = 0;
     Circuit::Settings settings;
-    Duration pause = settings.initialOpenDuration;
-    Time opensAgainAt{};
-    unsigned probesOut = 0;
+    Duration openDuration = settings.initialOpenDuration;
+    Time halfOpenAt{};
+    unsigned probesInFlight = 0;
 
     struct CountFailure
     {
@@ -56,7 +56,7 @@
             ++m.failuresInRow;
         }
     };
-    struct LastFailure
+    struct ThresholdReached
     {
         template <class Event, class Machine, class From, class To>
         bool operator()(const Event & /*event*/, Machine &m, From & /*from*/, To & /*to*/)
@@ -64,40 +64,40 @@
             return m.failuresInRow + 1 >= m.settings.failuresToOpen;
         }
     };
-    struct StartPause
+    struct OpenCircuit
     {
         template <class Machine, class From, class To>
         void operator()(const Failed &event, Machine &m, From & /*from*/, To & /*to*/)
         {
-            m.opensAgainAt = event.at + m.pause;
-            m.pause = std::min(m.pause * 2, m.settings.maxOpenDuration);
-            m.probesOut = 0;
+            m.halfOpenAt = event.at + m.openDuration;
+            m.openDuration = std::min(m.openDuration * 2, m.settings.maxOpenDuration);
+            m.probesInFlight = 0;
         }
     };
-    struct PauseOver
+    struct OpenTimeElapsed
     {
         template <class Machine, class From, class To>
-        bool operator()(const Asked &event, Machine &m, From & /*from*/, To & /*to*/)
+        bool operator()(const Checked &event, Machine &m, From & /*from*/, To & /*to*/)
         {
-            return event.at >= m.opensAgainAt;
+            return event.at >= m.halfOpenAt;
         }
     };
-    struct Heal
+    struct Reset
     {
         template <class Event, class Machine, class From, class To>
         void operator()(const Event & /*event*/, Machine &m, From & /*from*/, To & /*to*/)
         {
             m.failuresInRow = 0;
-            m.pause = m.settings.initialOpenDuration;
-            m.probesOut = 0;
+            m.openDuration = m.settings.initialOpenDuration;
+            m.probesInFlight = 0;
         }
     };
-    struct ReturnProbe
+    struct ClearProbes
     {
         template <class Event, class Machine, class From, class To>
         void operator()(const Event & /*event*/, Machine &m, From & /*from*/, To & /*to*/)
         {
-            m.probesOut = 0;
+            m.probesInFlight = 0;
         }
     };
 
@@ -105,19 +105,19 @@
     // clang-format off
     struct transition_table : boost::mpl::vector<
         front::Row<Closed,   Failed,    none,     CountFailure, none>,
-        front::Row<Closed,   Failed,    Open,     StartPause,   LastFailure>,
-        front::Row<Closed,   Succeeded, none,     Heal,         none>,
-        front::Row<Open,     Asked,     HalfOpen, ReturnProbe,  PauseOver>,
-        front::Row<HalfOpen, Failed,    Open,     StartPause,   none>,
-        front::Row<HalfOpen, Succeeded, Closed,   Heal,         none>,
-        front::Row<HalfOpen, Abandoned, none,     ReturnProbe,  none>
+        front::Row<Closed,   Failed,    Open,     OpenCircuit,  ThresholdReached>,
+        front::Row<Closed,   Succeeded, none,     Reset,        none>,
+        front::Row<Open,     Checked,   HalfOpen, ClearProbes,  OpenTimeElapsed>,
+        front::Row<HalfOpen, Failed,    Open,     OpenCircuit,  none>,
+        front::Row<HalfOpen, Succeeded, Closed,   Reset,        none>,
+        front::Row<HalfOpen, Abandoned, none,     ClearProbes,  none>
     > {};
     // clang-format on
 
     template <class Machine, class Event>
     void no_transition(const Event & /*event*/, Machine & /*machine*/, int /*state*/)
     {
-        // The events left out of the table say nothing new in that state.
+        // Events without a row in the table have no effect in that state.
     }
 };
 
@@ -136,7 +136,7 @@
 Circuit::Circuit(const Settings &settings) : m_impl(std::make_unique<Impl>())
 {
     m_impl->settings = settings;
-    m_impl->pause = settings.initialOpenDuration;
+    m_impl->openDuration = settings.initialOpenDuration;
     m_impl->start();
 }
 
@@ -146,12 +146,12 @@
 
 bool Circuit::allows(Time now)
 {
-    m_impl->process_event(Asked{now});
+    m_impl->process_event(Checked{now});
     switch (m_impl->index()) {
     case StateIndex::Closed:
         return true;
     case StateIndex::HalfOpen:
-        return m_impl->probesOut == 0;
+        return m_impl->probesInFlight == 0;
     case StateIndex::Open:
         break;
     }
@@ -161,7 +161,7 @@
 void Circuit::sent()
 {
     if (m_impl->index() == StateIndex::HalfOpen)
-        ++m_impl->probesOut;
+        ++m_impl->probesInFlight;
 }
 
 void Circuit::succeeded()
@@ -177,7 +177,7 @@
 void Circuit::connectionRefused(Time now)
 {
     for (unsigned n = 0; n < m_impl->settings.failuresToOpen; ++n)
-        failed(now); // those behind the last are ignored while it is open
+        failed(now); // ignored once the circuit is open
 }
 
 void Circuit::abandoned()
--- a/src/libreachlead/forwardpolicy.cpp
+++ b/src/libreachlead/forwardpolicy.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// What the end of a send proves, and what the caller is told if nothing more is tried.
-struct EndRow
+/// What the result of a send proves, and the error of the caller if the call is not retried.
+struct ResultRow
 {
     std::string_view name;
     bool provesNotRun = false;
     ErrorKind kind = ErrorKind::None;
 };
 
-constexpr std::array<EndRow, static_cast<std::size_t>(SendResult::Size)> rows{{
+constexpr std::array<ResultRow, static_cast<std::size_t>(SendResult::Size)> rows{{
     {"complete", false, ErrorKind::None},
     {"not-connected", true, ErrorKind::NoUpstream},
     {"refused-not-run", true, ErrorKind::AgentBusy},
@@ -27,9 +27,9 @@
     {"stalled", false, ErrorKind::UpstreamStalled},
 }};
 
-const EndRow &rowOf(SendResult end)
+const ResultRow &resultRow(SendResult result)
 {
-    return rows[static_cast<std::size_t>(end)];
+    return rows[static_cast<std::size_t>(result)];
 }
 
 /// True when a call that may have run is allowed to run again.
@@ -40,35 +40,35 @@
     return state.kind == RouteKind::Safe && !state.headDelivered;
 }
 
-bool maySendAgain(SendResult end, const ForwardState &state)
+bool mayRetry(SendResult result, const ForwardState &state)
 {
     if (!state.timeLeft || !state.upstreamsLeft)
         return false;
-    if (end == SendResult::NotConnected)
+    if (result == SendResult::NotConnected)
         return state.connectFailures < maxConnectFailures
             && state.connectRefusals < maxConnectRefusals;
     if (state.sends >= state.maxAttempts || !state.retryLeft)
         return false;
-    return rowOf(end).provesNotRun || isRepeatable(state);
+    return resultRow(result).provesNotRun || isRepeatable(state);
 }
 
 } // namespace
 
-std::string_view toString(SendResult end)
+std::string_view toString(SendResult result)
 {
-    return rowOf(end).name;
+    return resultRow(result).name;
 }
 
-ForwardDecision nextStep(SendResult end, const ForwardState &state)
+ForwardDecision nextStep(SendResult result, const ForwardState &state)
 {
-    const EndRow &row = rowOf(end);
-    if (end == SendResult::Complete)
+    const ResultRow &row = resultRow(result);
+    if (result == SendResult::Complete)
         return {ForwardStep::Deliver, ErrorKind::None};
-    if (maySendAgain(end, state))
+    if (mayRetry(result, state))
         return {ForwardStep::Retry, row.kind};
     if (state.headDelivered)
         return {ForwardStep::Abort, row.kind};
-    if (end == SendResult::ServerError)
+    if (result == SendResult::ServerError)
         return {ForwardStep::Deliver, ErrorKind::None};
     if (row.provesNotRun && !state.mayHaveRun)
         return {ForwardStep::Refuse, row.kind};
--- a/src/libreachlead/forwardpolicy_test.cpp
+++ b/src/libreachlead/forwardpolicy_test.cpp
@@ -9,25 +9,25 @@
 
 namespace reachlead {
 
-/// What follows a send: every end in every state.
+/// Tests the decision after a send, for each combination of a result and a state.
 class ForwardPolicyTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ForwardPolicyTest);
     CPPUNIT_TEST(whatMayHaveRunIsNeverRunAgainUnlessAllowed);
-    CPPUNIT_TEST(notRunIsToldOnlyWithProof);
+    CPPUNIT_TEST(notRunIsReportedOnlyWithProof);
     CPPUNIT_TEST(deliveredHeadIsNeverFollowedByAnother);
     CPPUNIT_TEST(boundsOnSendsHold);
     CPPUNIT_TEST(retriesHappenWhereTheyAreAllowed);
-    CPPUNIT_TEST(ownFailureIsDeliveredAsItIs);
+    CPPUNIT_TEST(serverErrorIsDeliveredUnchanged);
     CPPUNIT_TEST_SUITE_END();
 
     using Check = std::function<void(SendResult, const ForwardState &, const ForwardDecision &)>;
 
-    /// Calls \p check for each combination of an end and a state.
-    static void forAll(const Check &check)
+    /// Calls \p check for each combination of a result and a state.
+    static void forEachCase(const Check &check)
     {
         for (unsigned bits = 0; bits < 1U << 6U; ++bits) {
-            for (unsigned end = 0; end < static_cast<unsigned>(SendResult::Size); ++end) {
+            for (unsigned result = 0; result < static_cast<unsigned>(SendResult::Size); ++result) {
                 for (unsigned kind = 0; kind < 3; ++kind) {
                     for (unsigned sends = 0; sends < 4; ++sends) {
                         ForwardState state;
@@ -42,62 +42,66 @@
                         state.maxAttempts = 2;
                         state.connectFailures = sends;
                         state.connectRefusals = sends * maxConnectRefusals / 3;
-                        const auto sent = static_cast<SendResult>(end);
-                        check(sent, state, nextStep(sent, state));
+                        const auto value = static_cast<SendResult>(result);
+                        check(value, state, nextStep(value, state));
                     }
                 }
             }
         }
     }
 
-    static bool provesNotRun(SendResult end)
+    static bool provesNotRun(SendResult result)
     {
-        return end == SendResult::NotConnected || end == SendResult::RefusedNotRun;
+        return result == SendResult::NotConnected || result == SendResult::RefusedNotRun;
     }
 
     void whatMayHaveRunIsNeverRunAgainUnlessAllowed()
     {
-        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
-            const bool repeatable = state.kind == RouteKind::Safe
-                || (state.kind == RouteKind::Stream && state.resumable);
-            if (decision.step == ForwardStep::Retry && !provesNotRun(end))
-                CPPUNIT_ASSERT(repeatable);
-        });
+        forEachCase(
+            [](SendResult result, const ForwardState &state, const ForwardDecision &decision) {
+                const bool repeatable = state.kind == RouteKind::Safe
+                    || (state.kind == RouteKind::Stream && state.resumable);
+                if (decision.step == ForwardStep::Retry && !provesNotRun(result))
+                    CPPUNIT_ASSERT(repeatable);
+            });
     }
 
-    void notRunIsToldOnlyWithProof()
+    void notRunIsReportedOnlyWithProof()
     {
-        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
-            if (decision.step != ForwardStep::Refuse)
-                return;
-            CPPUNIT_ASSERT(provesNotRun(end) && !state.mayHaveRun);
-        });
+        forEachCase(
+            [](SendResult result, const ForwardState &state, const ForwardDecision &decision) {
+                if (decision.step != ForwardStep::Refuse)
+                    return;
+                CPPUNIT_ASSERT(provesNotRun(result) && !state.mayHaveRun);
+            });
     }
 
     void deliveredHeadIsNeverFollowedByAnother()
     {
-        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
-            if (!state.headDelivered || end == SendResult::Complete)
-                return;
-            const bool goesOn = decision.step == ForwardStep::Retry;
-            CPPUNIT_ASSERT(goesOn || decision.step == ForwardStep::Abort);
-            if (goesOn && !provesNotRun(end))
-                CPPUNIT_ASSERT(state.kind == RouteKind::Stream && state.resumable);
-        });
+        forEachCase(
+            [](SendResult result, const ForwardState &state, const ForwardDecision &decision) {
+                if (!state.headDelivered || result == SendResult::Complete)
+                    return;
+                const bool isRetried = decision.step == ForwardStep::Retry;
+                CPPUNIT_ASSERT(isRetried || decision.step == ForwardStep::Abort);
+                if (isRetried && !provesNotRun(result))
+                    CPPUNIT_ASSERT(state.kind == RouteKind::Stream && state.resumable);
+            });
     }
 
     void boundsOnSendsHold()
     {
-        forAll([](SendResult end, const ForwardState &state, const ForwardDecision &decision) {
-            if (decision.step != ForwardStep::Retry)
-                return;
-            CPPUNIT_ASSERT(state.timeLeft && state.upstreamsLeft);
-            if (end == SendResult::NotConnected)
-                CPPUNIT_ASSERT(state.connectFailures < maxConnectFailures
-                               && state.connectRefusals < maxConnectRefusals);
-            else
-                CPPUNIT_ASSERT(state.sends < state.maxAttempts && state.retryLeft);
-        });
+        forEachCase(
+            [](SendResult result, const ForwardState &state, const ForwardDecision &decision) {
+                if (decision.step != ForwardStep::Retry)
+                    return;
+                CPPUNIT_ASSERT(state.timeLeft && state.upstreamsLeft);
+                if (result == SendResult::NotConnected)
+                    CPPUNIT_ASSERT(state.connectFailures < maxConnectFailures
+                                   && state.connectRefusals < maxConnectRefusals);
+                else
+                    CPPUNIT_ASSERT(state.sends < state.maxAttempts && state.retryLeft);
+            });
     }
 
     void retriesHappenWhereTheyAreAllowed()
@@ -107,16 +111,17 @@
         state.sends = 1;
         state.maxAttempts = 2;
         state.retryLeft = state.timeLeft = state.upstreamsLeft = true;
-        for (const SendResult end : {SendResult::Lost, SendResult::ServerError, SendResult::Corrupt,
-                                     SendResult::RefusedNotRun, SendResult::NotConnected})
-            CPPUNIT_ASSERT(nextStep(end, state).step == ForwardStep::Retry);
+        for (const SendResult result :
+             {SendResult::Lost, SendResult::ServerError, SendResult::Corrupt,
+              SendResult::RefusedNotRun, SendResult::NotConnected})
+            CPPUNIT_ASSERT(nextStep(result, state).step == ForwardStep::Retry);
         state.kind = RouteKind::Unsafe;
         CPPUNIT_ASSERT(nextStep(SendResult::RefusedNotRun, state).step == ForwardStep::Retry);
         CPPUNIT_ASSERT(nextStep(SendResult::NotConnected, state).step == ForwardStep::Retry);
         CPPUNIT_ASSERT(nextStep(SendResult::Lost, state).step == ForwardStep::Fail);
     }
 
-    void ownFailureIsDeliveredAsItIs()
+    void serverErrorIsDeliveredUnchanged()
     {
         ForwardState state;
         state.kind = RouteKind::Unsafe;
--- a/src/libreachlead/retryshare.cpp
+++ b/src/libreachlead/retryshare.cpp
@@ -7,40 +7,42 @@
 
 namespace reachlead {
 
-RetryShare::Span &RetryShare::current(const ServiceName &service, Time now)
+RetryShare::Bucket &RetryShare::currentBucket(const ServiceName &service, Time now)
 {
-    std::deque<Span> &spans = m_books[service].spans;
-    const Duration length = m_bounds.window / spansPerWindow;
-    while (!spans.empty() && spans.front().begin + m_bounds.window + length < now)
-        spans.pop_front();
-    if (spans.empty() || spans.back().begin + length <= now)
-        spans.push_back(Span{now});
-    return spans.back();
+    std::deque<Bucket> &buckets = m_histories[service].buckets;
+    const Duration bucketLength = m_bounds.window / bucketsPerWindow;
+    while (!buckets.empty() && buckets.front().begin + m_bounds.window + bucketLength < now)
+        buckets.pop_front();
+    if (buckets.empty() || buckets.back().begin + bucketLength <= now)
+        buckets.push_back(Bucket{now});
+    return buckets.back();
 }
 
 void RetryShare::recordFirstSend(const ServiceName &service, Time now)
 {
-    ++current(service, now).firsts;
+    ++currentBucket(service, now).firstSends;
 }
 
 double RetryShare::remaining(const ServiceName &service, Time now)
 {
-    current(service, now);
-    const std::deque<Span> &spans = m_books[service].spans;
-    const auto count = [&](std::uint32_t Span::*field) {
-        return std::accumulate(spans.begin(), spans.end(), 0.0,
-                               [&](double sum, const Span &span) { return sum + span.*field; });
+    currentBucket(service, now);
+    const std::deque<Bucket> &buckets = m_histories[service].buckets;
+    const auto count = [&](std::uint32_t Bucket::*field) {
+        return std::accumulate(
+            buckets.begin(), buckets.end(), 0.0,
+            [&](double sum, const Bucket &bucket) { return sum + bucket.*field; });
     };
-    const double part = m_bounds.slack / static_cast<double>(m_gateways);
-    const double allowed = safetyFactor * (m_bounds.ratio * count(&Span::firsts) + part);
-    return allowed - count(&Span::repeats);
+    const double slackShare = m_bounds.slack / static_cast<double>(m_gateways);
+    const double allowed =
+        safetyFactor * (m_bounds.ratio * count(&Bucket::firstSends) + slackShare);
+    return allowed - count(&Bucket::retries);
 }
 
 bool RetryShare::take(const ServiceName &service, Time now)
 {
     if (remaining(service, now) < 1.0)
         return false;
-    ++current(service, now).repeats;
+    ++currentBucket(service, now).retries;
     return true;
 }
 
