--- a/src/include/reachlead/eventsplitter.h
+++ b/src/include/reachlead/eventsplitter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Cuts the bytes of an event stream at the ends of its events.
+/// Splits the bytes of an event stream at event boundaries.
 
 #pragma once
 
@@ -13,33 +13,32 @@
 
 namespace reachlead {
 
-/// Holds back the bytes of an event that is not whole yet, so that a caller never gets a part of
-/// one. Not thread-safe. Follows the event stream format of the HTML standard: fields in lines, an
-/// empty line after each event.
+/// Buffers an incomplete event, so that a caller never gets a part of one. Follows the event stream
+/// format of the HTML standard: fields in lines, an empty line after each event. Not thread-safe.
 class EventSplitter
 {
 public:
-    /// Takes bytes and returns those up to the end of the last whole event. Empty with
-    /// \p tooLong set when one event passes mostHeld.
+    /// Appends bytes and returns those up to the end of the last complete event. Sets \p tooLong
+    /// when the incomplete event exceeds maxEventBytes.
     std::string feed(std::string_view bytes, bool *tooLong);
 
-    /// True when bytes of an event are held whose end did not come.
+    /// True when an incomplete event is buffered.
     bool hasPartialEvent() const { return !m_held.empty(); }
 
-    /// Forgets the bytes that are held; the stream goes on from another source.
+    /// Discards the incomplete event; the stream is resumed from another upstream.
     void dropPartialEvent() { m_held.clear(); }
 
-    /// The id of the last event that feed() returned; none: no event had one.
+    /// The id of the last event that feed() returned; nothing if no event had one.
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
 
-    /// The events that feed() returned so far.
+    /// The number of events that feed() returned.
     std::uint64_t eventCount() const { return m_events; }
 
-    static constexpr std::size_t maxEventBytes = 1U << 20U; ///< bytes of one event
+    static constexpr std::size_t maxEventBytes = 1U << 20U;
 
 private:
-    void noteEvents(std::string_view whole);
-    void noteLine(std::string_view line);
+    void scanEvents(std::string_view whole);
+    void scanLine(std::string_view line);
 
     std::string m_held;
     std::optional<std::uint64_t> m_lastId;
--- a/src/include/reachlead/headercodec.h
+++ b/src/include/reachlead/headercodec.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a gateway reads from and writes to the headers of calls, whatever the headers are called.
+/// The metadata that a gateway reads from and writes to the headers of calls, independent of the
+/// names of the header fields.
 
 #pragma once
 
@@ -23,59 +24,58 @@
 /// The header fields of a call or an answer.
 using Fields = boost::beast::http::fields;
 
-/// A piece of a prompt that other prompts may begin with as well.
+/// A part of a prompt that other prompts may share as a prefix.
 struct PromptPart
 {
     std::uint64_t id = 0;
     TokenCount tokens = 0;
 };
 
-/// What a caller's request says of itself.
+/// Metadata of a caller's request.
 struct CallMetadata
 {
-    std::string attemptId; ///< one for each attempt of the caller; empty: none
+    std::string attemptId; ///< unique for each attempt of the caller; empty: none
     std::string apiKey; ///< the API key; empty: none
-    std::optional<Duration> timeout; ///< how long the caller will wait
-    std::optional<std::uint64_t> resumeAfter; ///< the last event the caller holds
+    std::optional<Duration> timeout; ///< how long the caller waits for the answer
+    std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller has received
     std::string model; ///< empty: not a call to a model
     TokenCount promptTokens = 0;
     TokenCount maxOutputTokens = 0;
-    std::vector<PromptPart>
-        prompt; ///< in order; the last one belongs to the request or its session
+    std::vector<PromptPart> prompt; ///< in order; the last part is of this request or its session
 };
 
-/// What a gateway says to an upstream of a call that it sends on.
+/// Metadata that a gateway adds to a call for the upstream.
 struct SendMetadata
 {
-    UpstreamId upstream; ///< the only life of an upstream that may run it
-    Duration timeout{}; ///< what is left of the time
+    UpstreamId upstream; ///< the only incarnation of an upstream that may run it
+    Duration timeout{}; ///< remaining time of the call
     std::optional<AccountName> account;
-    std::optional<unsigned> urgency; ///< at a model engine; 0 is the most urgent
-    std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller was given
-    std::optional<Endpoint> fetchFrom; ///< an upstream that holds cached parts of the prompt
+    std::optional<unsigned> urgency; ///< urgency rank at a model engine; 0 is the most urgent
+    std::optional<std::uint64_t> resumeAfter; ///< the last event delivered to the caller
+    std::optional<Endpoint> fetchFrom; ///< an upstream that has parts of the prompt cached
 };
 
-/// What an upstream says in an answer of its own state, beside the answer itself.
+/// An upstream's report of its own state in the headers of an answer.
 struct UpstreamNotice
 {
     std::optional<CallRate> limit; ///< of calls from all gateways together; none: no limit
-    bool isLimitValid = true; ///< false: it names one that says nothing
-    bool isLeaving = false; ///< it takes no new work in this life
-    std::optional<Duration> retryAfter; ///< for which it wants no calls from this gateway
+    bool isLimitValid = true; ///< false: the limit in the header cannot be parsed
+    bool isLeaving = false; ///< this incarnation accepts no new calls
+    std::optional<Duration> retryAfter; ///< requested backoff of this gateway
 };
 
-/// What an upstream's answer says of itself.
+/// Metadata of an upstream's answer.
 struct AnswerMetadata
 {
-    std::string attemptId; ///< of the call it answers; empty: not said
-    bool isSigned = false; ///< bears the upstream's signature
-    bool notRun = false; ///< the upstream vouches that it did not run the call
-    bool isMisdirected = false; ///< another upstream, or another life of it, has the address
-    /// Nothing where the answer cannot be told to be of the upstream that was called.
+    std::string attemptId; ///< of the answered call; empty: not given
+    bool isSigned = false; ///< has the upstream's signature field
+    bool notRun = false; ///< the upstream states that it did not run the call
+    bool isMisdirected = false; ///< another upstream or incarnation has the address now
+    /// Nothing unless the answer is known to come from the upstream that was called.
     std::optional<UpstreamNotice> notice;
 };
 
-/// Translates between facts and headers. Stateless; thread-safe.
+/// Translates between metadata and headers. Stateless; thread-safe.
 class HeaderCodec
 {
 public:
@@ -84,14 +84,14 @@
     virtual CallMetadata readCall(const Fields &fields) const = 0;
     virtual AnswerMetadata readAnswer(unsigned status, const Fields &fields) const = 0;
 
-    /// Copies what may be passed on from a caller's fields, and adds the gateway's own.
+    /// Copies the fields of a caller that may be forwarded, and adds those of the gateway.
     virtual void writeSend(const Fields &from, const SendMetadata &metadata, Fields *out) const = 0;
 
-    /// The path of a service's readiness question, as `/health`, that the balancer asks.
+    /// The path of the load balancer's readiness probe of a service, such as `/health`.
     virtual std::string readyPath() const = 0;
 };
 
-/// Copies all fields that do not concern one connection alone (RFC 9110, 7.6.1).
+/// Copies all fields except hop-by-hop fields (RFC 9110, 7.6.1).
 void copyEndToEnd(const Fields &from, Fields *out);
 
 } // namespace reachlead
--- a/src/libreachlead/components_test.cpp
+++ b/src/libreachlead/components_test.cpp
@@ -14,26 +14,26 @@
 
 namespace reachlead {
 
-/// The small parts that decisions are made of.
+/// Tests of small components: circuit, request lifecycle, admission window, limits and placement.
 class ComponentsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ComponentsTest);
-    CPPUNIT_TEST(circuitOpensProbesAndHeals);
-    CPPUNIT_TEST(lifeAllowsOnlyItsMoves);
-    CPPUNIT_TEST(windowFollowsTheTokenTime);
+    CPPUNIT_TEST(circuitOpensProbesAndCloses);
+    CPPUNIT_TEST(lifecycleAllowsOnlyValidTransitions);
+    CPPUNIT_TEST(windowFollowsTokenGap);
     CPPUNIT_TEST(childrenShareTheirParentsLimit);
-    CPPUNIT_TEST(partsOfALimitNeverSumAbove);
-    CPPUNIT_TEST(tokenRateMakesDebt);
+    CPPUNIT_TEST(sharesNeverExceedTheLimit);
+    CPPUNIT_TEST(tokensAboveTheRateBecomeDebt);
     CPPUNIT_TEST(placementPrefersNearFastAndIdle);
     CPPUNIT_TEST(prefixNeverOutweighsLoad);
     CPPUNIT_TEST(lengthFollowsItsQuantile);
     CPPUNIT_TEST(budgetBoundsRetries);
-    CPPUNIT_TEST(keysAreChecked);
+    CPPUNIT_TEST(apiKeysAreChecked);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(100)};
 
-    void circuitOpensProbesAndHeals()
+    void circuitOpensProbesAndCloses()
     {
         Circuit circuit;
         for (unsigned n = 0; n < Circuit::failuresToOpen; ++n) {
@@ -46,17 +46,17 @@
         circuit.sent();
         CPPUNIT_ASSERT(!circuit.allows(later)); // one probe at a time
         circuit.failed(later);
-        CPPUNIT_ASSERT(!circuit.allows(later + Circuit::initialOpenDuration)); // the pause doubled
+        CPPUNIT_ASSERT(!circuit.allows(later + Circuit::initialOpenDuration)); // it has doubled
         CPPUNIT_ASSERT(circuit.allows(later + 2 * Circuit::initialOpenDuration));
         circuit.sent();
-        circuit.abandoned(); // the probe's caller went away: another may go
+        circuit.abandoned(); // the probe's caller disconnected: another probe is allowed
         CPPUNIT_ASSERT(circuit.allows(later + 2 * Circuit::initialOpenDuration));
         circuit.sent();
         circuit.succeeded();
         CPPUNIT_ASSERT_EQUAL(std::string("closed"), std::string(circuit.state()));
     }
 
-    void lifeAllowsOnlyItsMoves()
+    void lifecycleAllowsOnlyValidTransitions()
     {
         RequestLifecycle life;
         CPPUNIT_ASSERT(life.state() == RequestState::Queued);
@@ -71,15 +71,15 @@
         CPPUNIT_ASSERT(life.apply(RequestEvent::Finished));
         CPPUNIT_ASSERT(life.state() == RequestState::Ended);
         CPPUNIT_ASSERT(!life.apply(RequestEvent::Requeued));
-        CPPUNIT_ASSERT(!life.apply(RequestEvent::Finished)); // the final word is told once
+        CPPUNIT_ASSERT(!life.apply(RequestEvent::Finished)); // a request finishes only once
     }
 
-    void windowFollowsTheTokenTime()
+    void windowFollowsTokenGap()
     {
         AdmissionWindow window({1, 64, 8});
         const Duration target = milliseconds(80);
         Time now = start;
-        const auto feel = [&](Duration gap, unsigned rounds) {
+        const auto simulate = [&](Duration gap, unsigned rounds) {
             for (unsigned n = 0; n < rounds; ++n) {
                 now += AdmissionWindow::adjustInterval + gap;
                 for (unsigned k = 0; k < 100; ++k)
@@ -87,20 +87,20 @@
                 window.adjust(now, window.size(), target);
             }
         };
-        feel(milliseconds(40), 3);
+        simulate(milliseconds(40), 3);
         const std::uint32_t grown = window.size();
-        CPPUNIT_ASSERT(grown > 16 && grown < 40); // far from the target it grows fast
-        feel(milliseconds(72), 3);
-        CPPUNIT_ASSERT_EQUAL(grown + 3, window.size()); // near it one by one
-        feel(milliseconds(76), 10);
-        CPPUNIT_ASSERT_EQUAL(grown + 3, window.size()); // and then it stays
-        feel(milliseconds(120), 3);
+        CPPUNIT_ASSERT(grown > 16 && grown < 40); // fast growth far from the target
+        simulate(milliseconds(72), 3);
+        CPPUNIT_ASSERT_EQUAL(grown + 3, window.size()); // growth by one near the target
+        simulate(milliseconds(76), 10);
+        CPPUNIT_ASSERT_EQUAL(grown + 3, window.size()); // no growth at the target
+        simulate(milliseconds(120), 3);
         CPPUNIT_ASSERT(window.size() < grown * 3 / 4);
-        feel(milliseconds(500), 100);
+        simulate(milliseconds(500), 100);
         CPPUNIT_ASSERT_EQUAL(1U, window.size());
     }
 
-    static std::shared_ptr<Policies> family()
+    static std::shared_ptr<Policies> parentWithTwoChildren()
     {
         auto policies = std::make_shared<Policies>();
         for (const char *name : {"parent", "one", "two"}) {
@@ -115,7 +115,7 @@
 
     void childrenShareTheirParentsLimit()
     {
-        auto policies = family();
+        auto policies = parentWithTwoChildren();
         policies->accounts[AccountName("parent")].limits.concurrency = 3;
         AccountLimiter limiter(policies);
         CPPUNIT_ASSERT(limiter.acquire(AccountName("one"), start) == ErrorKind::None);
@@ -127,9 +127,9 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{3}, limiter.inProgress(AccountName("parent")));
     }
 
-    void partsOfALimitNeverSumAbove()
+    void sharesNeverExceedTheLimit()
     {
-        auto policies = family();
+        auto policies = parentWithTwoChildren();
         policies->accounts[AccountName("one")].limits.concurrency = 10;
         std::size_t taken = 0;
         for (unsigned router = 0; router < 3; ++router) {
@@ -142,13 +142,13 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, taken);
     }
 
-    void tokenRateMakesDebt()
+    void tokensAboveTheRateBecomeDebt()
     {
-        auto policies = family();
+        auto policies = parentWithTwoChildren();
         policies->accounts[AccountName("one")].limits.tokensPerSecond = 100;
         AccountLimiter limiter(policies);
         CPPUNIT_ASSERT(limiter.acquire(AccountName("one"), start) == ErrorKind::None);
-        limiter.chargeTokens(AccountName("one"), 400, start); // two seconds' room, and two more
+        limiter.chargeTokens(AccountName("one"), 400, start); // two seconds' allowance and two more
         CPPUNIT_ASSERT(limiter.acquire(AccountName("one"), start + seconds(1))
                        == ErrorKind::AccountRate);
         CPPUNIT_ASSERT(limiter.acquire(AccountName("one"), start + seconds(3)) == ErrorKind::None);
@@ -162,11 +162,11 @@
         candidates[0] = {VmName("far"), false, 8, 0, 1.0, 0};
         candidates[1] = {VmName("busy"), true, 8, 7, 1.0, 0};
         candidates[2] = {VmName("idle"), true, 8, 0, 1.0, 0};
-        std::map<std::size_t, unsigned> chosen;
+        std::map<std::size_t, unsigned> selections;
         for (unsigned n = 0; n < 400; ++n)
-            ++chosen[*placement->select(candidates, random)];
-        CPPUNIT_ASSERT_EQUAL(0U, chosen[0]); // another zone only when the own has no room
-        CPPUNIT_ASSERT(chosen[2] > 2 * chosen[1]);
+            ++selections[*placement->select(candidates, random)];
+        CPPUNIT_ASSERT_EQUAL(0U, selections[0]); // another zone only if the local one is full
+        CPPUNIT_ASSERT(selections[2] > 2 * selections[1]);
         candidates.resize(1);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, *placement->select(candidates, random));
         CPPUNIT_ASSERT(!placement->select({}, random));
@@ -207,9 +207,9 @@
         CPPUNIT_ASSERT(maxRetryBackoff(100) == Duration(milliseconds(1280)));
     }
 
-    void keysAreChecked()
+    void apiKeysAreChecked()
     {
-        auto policies = family();
+        auto policies = parentWithTwoChildren();
         AccountPolicy &one = policies->accounts[AccountName("one")];
         one.keySalt = "salt";
         one.keyHash = hashSecret("salt", "secret");
--- a/src/libreachlead/eventsplitter.cpp
+++ b/src/libreachlead/eventsplitter.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// The end of the last whole event in \p text; 0 when there is none.
-std::size_t endOfWhole(std::string_view text)
+/// The offset behind the last complete event in \p text; 0 when there is none.
+std::size_t endOfLastEvent(std::string_view text)
 {
-    const std::size_t plain = text.rfind("\n\n");
-    const std::size_t withReturn = text.rfind("\n\r\n");
-    const std::size_t plainEnd = plain == std::string_view::npos ? 0 : plain + 2;
-    const std::size_t returnEnd = withReturn == std::string_view::npos ? 0 : withReturn + 3;
-    return std::max(plainEnd, returnEnd);
+    const std::size_t lf = text.rfind("\n\n");
+    const std::size_t crlf = text.rfind("\n\r\n");
+    const std::size_t lfEnd = lf == std::string_view::npos ? 0 : lf + 2;
+    const std::size_t crlfEnd = crlf == std::string_view::npos ? 0 : crlf + 3;
+    return std::max(lfEnd, crlfEnd);
 }
 
 } // namespace
@@ -24,15 +24,15 @@
 std::string EventSplitter::feed(std::string_view bytes, bool *tooLong)
 {
     m_held.append(bytes);
-    const std::size_t end = endOfWhole(m_held);
+    const std::size_t end = endOfLastEvent(m_held);
     std::string whole = m_held.substr(0, end);
     m_held.erase(0, end);
     *tooLong = m_held.size() > maxEventBytes;
-    noteEvents(whole);
+    scanEvents(whole);
     return whole;
 }
 
-void EventSplitter::noteEvents(std::string_view whole)
+void EventSplitter::scanEvents(std::string_view whole)
 {
     while (!whole.empty()) {
         const std::size_t end = whole.find('\n');
@@ -40,11 +40,11 @@
         whole.remove_prefix(end == std::string_view::npos ? whole.size() : end + 1);
         if (line.ends_with('\r'))
             line.remove_suffix(1);
-        noteLine(line);
+        scanLine(line);
     }
 }
 
-void EventSplitter::noteLine(std::string_view line)
+void EventSplitter::scanLine(std::string_view line)
 {
     if (line.empty()) {
         ++m_events;
--- a/src/libreachlead/headercodec.cpp
+++ b/src/libreachlead/headercodec.cpp
@@ -14,7 +14,7 @@
 
 namespace http = boost::beast::http;
 
-/// Fields that end at the next hop; lengths are written anew for each hop.
+/// Fields of one connection only. Content-Length is among them, as it is set anew for each hop.
 constexpr std::array hopByHop{http::field::connection,
                               http::field::keep_alive,
                               http::field::proxy_connection,
@@ -31,11 +31,11 @@
 
 void copyEndToEnd(const Fields &from, Fields *out)
 {
-    http::token_list named(from[http::field::connection]);
+    http::token_list listed(from[http::field::connection]);
     for (const auto &field : from) {
-        const bool isHop = std::ranges::find(hopByHop, field.name()) != hopByHop.end()
+        const bool isHopByHop = std::ranges::find(hopByHop, field.name()) != hopByHop.end()
             && field.name() != http::field::unknown;
-        if (!isHop && !named.exists(field.name_string()))
+        if (!isHopByHop && !listed.exists(field.name_string()))
             out->insert(field.name(), field.name_string(), field.value());
     }
 }
