--- a/src/include/reachlead/agentcore.h
+++ b/src/include/reachlead/agentcore.h
@@ -91,7 +91,7 @@
     Duration reattachGrace = seconds(5); ///< how long a stream runs on without a router
     Duration finishedRetention = seconds(30); ///< records of finished attempts
     Duration answerRetention = seconds(600); ///< answers of calls with an idempotency key
-    std::size_t maxFinished = 4096; ///< finished records; the oldest is dropped first
+    std::size_t maxFinished = 4096; ///< finished records; the oldest is evicted first
     std::size_t maxAnswerBytes = 4U << 20U;
     std::size_t maxRouters = 2048; ///< router incarnations remembered
 };
@@ -169,7 +169,8 @@
     /// Returns the pending actions in order and clears the list.
     std::vector<AgentAction> takeActions();
 
-    /// The load as reported to the router of \p session; without a session, `yours` is 0.
+    /// The load as reported to the router of \p session; without a session,
+    /// `recipientRequests` is 0.
     Load load(std::optional<SessionId> session) const;
     /// UDP ports of the routers that requested heartbeats, by session.
     std::vector<std::pair<SessionId, std::uint16_t>> heartbeatPorts() const;
@@ -214,12 +215,12 @@
     void send(const Run &run, ToRouter message);
     void flush(Run &run);
     void failRun(Run &run, ErrorKind kind, Outcome outcome, const std::string &reason, Time now);
-    void finish(Run &run, AttemptResult end, Time now);
+    void finish(Run &run, AttemptResult result, Time now);
     void refuseRun(Run &run, ErrorKind kind, const std::string &reason);
     void releaseSlot(Run &run);
     void eraseIfSettled(const Run &run);
     void cancel(Run &run, Time now);
-    void dropRecord(const RequestId &id);
+    void evictRecord(const RequestId &id);
     void dropExpired(Time now);
     void cancelDetached(Time now);
 
@@ -239,13 +240,13 @@
 
     std::map<SessionId, Session> m_sessions;
     std::unordered_map<RequestId, RunPtr> m_runs;
-    std::set<RequestId> m_unsettled; ///< unfinished runs, and those whose End is still to be sent
+    std::set<RequestId> m_unsettled; ///< unfinished runs, and those whose result is to be sent
     std::map<std::pair<std::uint8_t, std::uint64_t>, RequestId> m_queue; ///< by tier, then arrival
     std::map<std::pair<AccountName, std::string>, RequestId> m_byKey;
     std::list<RequestId> m_finished; ///< oldest first
-    /// By router: the highest sequence whose record was dropped.
-    std::unordered_map<std::uint64_t, std::uint64_t> m_forgotten;
-    bool m_forgottenIncomplete = false; ///< an entry of m_forgotten was evicted
+    /// By router: the highest sequence whose record was evicted.
+    std::unordered_map<std::uint64_t, std::uint64_t> m_evicted;
+    bool m_evictedIncomplete = false; ///< an entry of m_evicted was dropped
     std::size_t m_running = 0; ///< attempts that hold a slot of the window
     std::uint64_t m_arrivals = 0;
     std::uint64_t m_upstreamExits = 0; ///< upstream incarnations that exited under a call
--- a/src/include/reachlead/claimtable.h
+++ b/src/include/reachlead/claimtable.h
@@ -133,7 +133,7 @@
     void expire(Partition &p, Time now);
     bool findOpenSlot(Partition &p, std::size_t *index, Slot *slot) const;
     bool isClaimedByOther(const Partition &p, const Change &change) const;
-    void end(const Change &change, ClaimResult result);
+    void complete(const Change &change, ClaimResult result);
     std::string slotKey(std::uint32_t number, std::size_t index) const;
     static std::string serializeSlot(const Slot &slot);
     static std::optional<Slot> parseSlot(const std::string &text);
--- a/src/libreachlead/agentcore.cpp
+++ b/src/libreachlead/agentcore.cpp
@@ -179,7 +179,7 @@
             return;
         }
         cancel(*old->second, now);
-        dropRecord(message.id);
+        evictRecord(message.id);
     }
     if (m_draining) {
         refuse(session, key, ErrorKind::AgentLeaving, "draining");
@@ -225,13 +225,13 @@
         refuse(session, key, ErrorKind::KeyInUse, "the first call with this key is in progress");
         return true;
     }
-    AttemptResult end = first.end;
-    if (end.kind != ErrorKind::None || first.dispatch->stream)
+    AttemptResult result = first.result;
+    if (result.kind != ErrorKind::None || first.dispatch->stream)
         return false; // claiming the key decides
-    end.id = message.id;
-    end.attempt = message.attempt;
+    result.id = message.id;
+    result.attempt = message.attempt;
     m_actions.emplace_back(SendToRouter{session, Started{message.id, message.attempt}});
-    m_actions.emplace_back(SendToRouter{session, std::move(end)});
+    m_actions.emplace_back(SendToRouter{session, std::move(result)});
     return true;
 }
 
@@ -310,11 +310,11 @@
     for (Run *run : victims) {
         m_counters->add(Counter::Preempted);
         m_actions.emplace_back(CancelUpstreamCall{run->key()});
-        AttemptResult end;
-        end.kind = ErrorKind::Preempted;
-        end.tokens = run->tokens();
-        end.hash = XXH64(run->text.data(), run->text.size(), 0);
-        finish(*run, std::move(end), now); // starts a queued request
+        AttemptResult result;
+        result.kind = ErrorKind::Preempted;
+        result.tokens = run->tokens();
+        result.hash = XXH64(run->text.data(), run->text.size(), 0);
+        finish(*run, std::move(result), now); // starts a queued request
     }
 }
 
@@ -401,11 +401,11 @@
     AttemptQueryReply reply{message.id, message.attempt, AttemptState::NeverReceived};
     Run *run = findRun({message.id, message.attempt});
     if (!run) {
-        const auto highWaterMark = m_forgotten.find(message.id.router.value);
-        const bool mayBeForgotten = highWaterMark == m_forgotten.end()
-            ? m_forgottenIncomplete
+        const auto highWaterMark = m_evicted.find(message.id.router.value);
+        const bool mayBeEvicted = highWaterMark == m_evicted.end()
+            ? m_evictedIncomplete
             : message.id.sequence <= highWaterMark->second;
-        if (mayBeForgotten)
+        if (mayBeEvicted)
             reply.state = AttemptState::Evicted;
         m_actions.emplace_back(SendToRouter{session, reply});
         return;
@@ -418,7 +418,7 @@
         ? std::min(message.receivedTokens - before, run->tokens())
         : 0;
     run->creditLimit = run->sent + message.credit;
-    run->endSent = false;
+    run->resultSent = false;
     m_unsettled.insert(message.id);
     flush(*run);
 }
--- a/src/libreachlead/agentcore_pvt.h
+++ b/src/libreachlead/agentcore_pvt.h
@@ -26,8 +26,8 @@
     std::uint64_t sent = 0; ///< tokens of this attempt sent to the router
     std::uint64_t creditLimit = 0; ///< tokens of this attempt that may be sent
     bool claimed = false;
-    bool endSent = false;
-    AttemptResult end; ///< valid once finished
+    bool resultSent = false;
+    AttemptResult result; ///< valid once finished
     Time startedAt{}; ///< when it was sent to the upstream
     Time lastTokenAt{};
     Time detachedAt{};
--- a/src/libreachlead/agentcore_runs.cpp
+++ b/src/libreachlead/agentcore_runs.cpp
@@ -28,7 +28,7 @@
         m_actions.emplace_back(SendToRouter{*run.session, std::move(message)});
 }
 
-/// Sends the tokens that the credit allows, and End after the last token.
+/// Sends the tokens that the credit allows, and the result after the last token.
 void AgentCore::flush(Run &run)
 {
     if (!run.session) {
@@ -48,18 +48,18 @@
         run.sent = upTo;
         send(run, std::move(chunk));
     }
-    if (run.state == Run::State::Finished && run.sent == run.tokens() && !run.endSent) {
-        run.endSent = true;
-        send(run, run.end);
+    if (run.state == Run::State::Finished && run.sent == run.tokens() && !run.resultSent) {
+        run.resultSent = true;
+        send(run, run.result);
     }
     eraseIfSettled(run);
 }
 
-/// Removes a run from the unsettled ones once it has finished and its End was sent, or it has no
+/// Removes a run from the unsettled ones once it has finished and its result was sent, or it has no
 /// router.
 void AgentCore::eraseIfSettled(const Run &run)
 {
-    if (run.state == Run::State::Finished && (run.endSent || !run.session))
+    if (run.state == Run::State::Finished && (run.resultSent || !run.session))
         m_unsettled.erase(run.dispatch->id);
 }
 
@@ -87,10 +87,10 @@
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    AttemptResult end;
-    end.tokens = run->tokens();
-    end.hash = XXH64(run->text.data(), run->text.size(), 0);
-    finish(*run, std::move(end), now);
+    AttemptResult result;
+    result.tokens = run->tokens();
+    result.hash = XXH64(run->text.data(), run->text.size(), 0);
+    finish(*run, std::move(result), now);
 }
 
 void AgentCore::upstreamAnswer(const AttemptKey &key, unsigned status, std::vector<Header> headers,
@@ -99,15 +99,15 @@
     Run *run = findRun(key);
     if (!run || run->state != Run::State::Running)
         return;
-    AttemptResult end;
-    end.status = status;
-    end.headers = std::move(headers);
-    end.body = std::move(body);
-    finish(*run, std::move(end), now);
+    AttemptResult result;
+    result.status = status;
+    result.headers = std::move(headers);
+    result.body = std::move(body);
+    finish(*run, std::move(result), now);
 }
 
-/// Reports the loss to all routers before the run's End. A request that crashes upstreams may come
-/// through any router, and each would lose three upstreams before it quarantined the request:
+/// Reports the crash to all routers before the run's result. A request that crashes upstreams may
+/// come through any router, and each would lose three upstreams before it quarantined the request:
 /// without this report 30 of 30 attempts of such a request crashed an engine, with it three.
 void AgentCore::upstreamExited(const AttemptKey &key, Time now)
 {
@@ -120,9 +120,9 @@
     m_upstreamExitedAt = now;
     const RequestDigest request =
         computeDigest(requestContent(run->dispatch->account, run->dispatch->call));
-    const UpstreamCrash loss{request, m_upstreamExits};
+    const UpstreamCrash crash{request, m_upstreamExits};
     for (const auto &[session, router] : m_sessions)
-        m_actions.emplace_back(SendToRouter{session, loss});
+        m_actions.emplace_back(SendToRouter{session, crash});
 }
 
 void AgentCore::upstreamFailed(const AttemptKey &key, ErrorKind kind, Outcome outcome,
@@ -140,23 +140,23 @@
     if (outcome == Outcome::NotRun && run.tokens() == 0) {
         refuseRun(run, kind, reason);
     } else {
-        AttemptResult end;
-        end.kind = kind;
-        end.outcome = run.tokens() > 0 ? Outcome::Ran : outcome;
-        end.reason = reason;
-        end.tokens = run.tokens();
-        end.hash = XXH64(run.text.data(), run.text.size(), 0);
-        finish(run, std::move(end), now);
+        AttemptResult result;
+        result.kind = kind;
+        result.outcome = run.tokens() > 0 ? Outcome::Ran : outcome;
+        result.reason = reason;
+        result.tokens = run.tokens();
+        result.hash = XXH64(run.text.data(), run.text.size(), 0);
+        finish(run, std::move(result), now);
     }
     startQueued(now);
 }
 
-void AgentCore::finish(Run &run, AttemptResult end, Time now)
+void AgentCore::finish(Run &run, AttemptResult result, Time now)
 {
     releaseSlot(run);
-    end.id = run.dispatch->id;
-    end.attempt = run.dispatch->attempt;
-    run.end = std::move(end);
+    result.id = run.dispatch->id;
+    result.attempt = run.dispatch->attempt;
+    run.result = std::move(result);
     run.state = Run::State::Finished;
     run.finishedAt = now;
     m_finished.push_back(run.dispatch->id);
@@ -240,9 +240,9 @@
     }
 }
 
-/// Drops a record and remembers that it may have existed, so that a later query is not answered
+/// Evicts a record and remembers that it may have existed, so that a later query is not answered
 /// with NeverReceived.
-void AgentCore::dropRecord(const RequestId &id)
+void AgentCore::evictRecord(const RequestId &id)
 {
     const auto it = m_runs.find(id);
     if (it == m_runs.end())
@@ -253,11 +253,11 @@
         m_byKey.erase(key);
     m_unsettled.erase(id);
     m_runs.erase(it);
-    if (m_forgotten.size() >= m_tuning.maxRouters && !m_forgotten.contains(id.router.value)) {
-        m_forgotten.erase(m_forgotten.begin());
-        m_forgottenIncomplete = true;
+    if (m_evicted.size() >= m_tuning.maxRouters && !m_evicted.contains(id.router.value)) {
+        m_evicted.erase(m_evicted.begin());
+        m_evictedIncomplete = true;
     }
-    std::uint64_t &highWaterMark = m_forgotten[id.router.value];
+    std::uint64_t &highWaterMark = m_evicted[id.router.value];
     highWaterMark = std::max(highWaterMark, id.sequence);
 }
 
@@ -277,14 +277,14 @@
             const bool hasKey = !run.dispatch->idempotencyKey.empty();
             const Duration retention =
                 hasKey ? m_tuning.answerRetention : m_tuning.finishedRetention;
-            const bool isUndelivered = run.session && !run.endSent;
+            const bool isUndelivered = run.session && !run.resultSent;
             if (isUndelivered || now - run.finishedAt < retention) {
                 ++it;
                 continue;
             }
         }
         if (!isDropped)
-            dropRecord(*it);
+            evictRecord(*it);
         it = m_finished.erase(it);
     }
 }
--- a/src/libreachlead/agentcore_test.cpp
+++ b/src/libreachlead/agentcore_test.cpp
@@ -20,9 +20,9 @@
     CPPUNIT_TEST(leavingAgentRefusesAndFinishes);
     CPPUNIT_TEST(leavingInMembershipIsRevoked);
     CPPUNIT_TEST(upstreamIsNotCalledBeforeItsRetryAfter);
-    CPPUNIT_TEST(brokenStreamIsNotReportedAsUpstreamLoss);
+    CPPUNIT_TEST(brokenStreamIsNotReportedAsUpstreamCrash);
     CPPUNIT_TEST(resumedAgentReadsBeforeItStarts);
-    CPPUNIT_TEST(forgottenRecordIsNotNeverSeen);
+    CPPUNIT_TEST(evictedRecordIsNotNeverReceived);
     CPPUNIT_TEST(olderSessionIsDestroyed);
     CPPUNIT_TEST(cancelStopsStreamButNotPlainCall);
     CPPUNIT_TEST(detachedStreamIsCancelledAfterGrace);
@@ -126,10 +126,10 @@
         token(2, "x");
         dispatch(4, 0);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<CancelUpstreamCall>());
-        const AttemptResult end = sent<AttemptResult>().at(0);
-        CPPUNIT_ASSERT(end.kind == ErrorKind::Preempted);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, end.id.sequence);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, end.tokens); // tokens before the preemption are kept
+        const AttemptResult result = sent<AttemptResult>().at(0);
+        CPPUNIT_ASSERT(result.kind == ErrorKind::Preempted);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, result.id.sequence);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, result.tokens); // made before the preemption
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, sent<Started>().at(0).id.sequence);
         dispatch(5, 1);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, sent<AttemptResult>().at(0).id.sequence);
@@ -217,7 +217,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent<Chunk>().size());
         m_core->upstreamDone(key(1), m_now);
         collect();
-        CPPUNIT_ASSERT(sent<AttemptResult>().empty()); // End is never sent before all tokens
+        CPPUNIT_ASSERT(sent<AttemptResult>().empty()); // the result is never sent before all tokens
         m_core->message(session, Credit{id(1), 1, 10}, m_now);
         collect();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, sent<Chunk>().at(0).count);
@@ -273,8 +273,8 @@
     }
 
     /// A request whose stream was closed three times by a running engine must not be quarantined as
-    /// if it had crashed three engines: only an exited process is reported as an upstream loss.
-    void brokenStreamIsNotReportedAsUpstreamLoss()
+    /// if it had crashed three engines: only an exited process is reported as an upstream crash.
+    void brokenStreamIsNotReportedAsUpstreamCrash()
     {
         open();
         dispatch(1);
@@ -326,7 +326,7 @@
         CPPUNIT_ASSERT(m_core->draining()); // the operator's drain is still in effect
     }
 
-    void forgottenRecordIsNotNeverSeen()
+    void evictedRecordIsNotNeverReceived()
     {
         AgentTuning tuning;
         tuning.finishedRetention = seconds(1);
--- a/src/libreachlead/claimtable.cpp
+++ b/src/libreachlead/claimtable.cpp
@@ -82,7 +82,7 @@
     if (m_pending >= m_tuning.maxPending) {
         // A claim is refused as not run. A release is dropped: its key then stays claimed until it
         // expires. That refuses a repeated call, but never lets one run twice.
-        end(change, ClaimResult::StoreDown);
+        complete(change, ClaimResult::StoreDown);
         return;
     }
     ++m_pending;
@@ -91,7 +91,7 @@
     advance(partition, p, now);
 }
 
-void ClaimTable::end(const Change &change, ClaimResult result)
+void ClaimTable::complete(const Change &change, ClaimResult result)
 {
     if (!change.isRelease)
         m_actions.emplace_back(ClaimCompleted{{change.owner.id, change.owner.attempt}, result});
@@ -117,7 +117,7 @@
     const auto isExpired = [&](const Change &change) {
         if (change.deadline > now)
             return false;
-        end(change, ClaimResult::StoreDown);
+        complete(change, ClaimResult::StoreDown);
         return true;
     };
     m_pending -= std::erase_if(p.pending, isExpired);
@@ -202,9 +202,9 @@
                 && !other.isRelease;
         });
         if (!change.isRelease && (inBatch || isClaimedByOther(p, change)))
-            end(change, ClaimResult::Taken);
+            complete(change, ClaimResult::Taken);
         else if (!hasRoom)
-            end(change, ClaimResult::StoreDown);
+            complete(change, ClaimResult::StoreDown);
         else
             p.writing.push_back(std::move(change));
     }
@@ -293,7 +293,7 @@
             eraseOwner(&p.owners, change.hash, change.owner);
         } else {
             p.owners[change.hash] = change.owner;
-            end(change, ClaimResult::Granted);
+            complete(change, ClaimResult::Granted);
         }
     }
     p.writing.clear();
@@ -309,7 +309,7 @@
         const bool isOurs = it != p.owners.end() && it->second.id == change.owner.id
             && it->second.attempt == change.owner.attempt;
         if (!change.isRelease && isOurs) {
-            end(change, ClaimResult::Granted);
+            complete(change, ClaimResult::Granted);
         } else if (!change.isRelease || isOurs) {
             ++m_pending;
             p.pending.push_front(std::move(change));
--- a/src/libreachlead/components_test.cpp
+++ b/src/libreachlead/components_test.cpp
@@ -58,20 +58,20 @@
 
     void lifecycleAllowsOnlyValidTransitions()
     {
-        RequestLifecycle life;
-        CPPUNIT_ASSERT(life.state() == RequestState::Queued);
-        CPPUNIT_ASSERT(!life.apply(RequestEvent::ExecutionStarted));
-        CPPUNIT_ASSERT(life.apply(RequestEvent::Assigned));
-        CPPUNIT_ASSERT(life.state() == RequestState::Sent);
-        CPPUNIT_ASSERT(life.apply(RequestEvent::ExecutionStarted));
-        CPPUNIT_ASSERT(life.state() == RequestState::Running);
-        CPPUNIT_ASSERT(life.apply(RequestEvent::SessionLost));
-        CPPUNIT_ASSERT(life.state() == RequestState::Recovering);
-        CPPUNIT_ASSERT(life.apply(RequestEvent::Recovered));
-        CPPUNIT_ASSERT(life.apply(RequestEvent::Finished));
-        CPPUNIT_ASSERT(life.state() == RequestState::Ended);
-        CPPUNIT_ASSERT(!life.apply(RequestEvent::Requeued));
-        CPPUNIT_ASSERT(!life.apply(RequestEvent::Finished)); // a request finishes only once
+        RequestLifecycle lifecycle;
+        CPPUNIT_ASSERT(lifecycle.state() == RequestState::Queued);
+        CPPUNIT_ASSERT(!lifecycle.apply(RequestEvent::ExecutionStarted));
+        CPPUNIT_ASSERT(lifecycle.apply(RequestEvent::Assigned));
+        CPPUNIT_ASSERT(lifecycle.state() == RequestState::Sent);
+        CPPUNIT_ASSERT(lifecycle.apply(RequestEvent::ExecutionStarted));
+        CPPUNIT_ASSERT(lifecycle.state() == RequestState::Running);
+        CPPUNIT_ASSERT(lifecycle.apply(RequestEvent::SessionLost));
+        CPPUNIT_ASSERT(lifecycle.state() == RequestState::Recovering);
+        CPPUNIT_ASSERT(lifecycle.apply(RequestEvent::Recovered));
+        CPPUNIT_ASSERT(lifecycle.apply(RequestEvent::Finished));
+        CPPUNIT_ASSERT(lifecycle.state() == RequestState::Ended);
+        CPPUNIT_ASSERT(!lifecycle.apply(RequestEvent::Requeued));
+        CPPUNIT_ASSERT(!lifecycle.apply(RequestEvent::Finished)); // a request finishes only once
     }
 
     void windowFollowsTokenGap()
