--- a/src/include/reachlead/circuit.h
+++ b/src/include/reachlead/circuit.h
@@ -28,8 +28,7 @@
     struct Settings
     {
         unsigned failuresToOpen = Circuit::failuresToOpen; ///< consecutive
-        Duration initialOpenDuration =
-            Circuit::initialOpenDuration; ///< doubles up to maxOpenDuration
+        Duration initialOpenDuration = Circuit::initialOpenDuration; ///< then doubles
         Duration maxOpenDuration = Circuit::maxOpenDuration;
     };
 
--- a/src/include/reachlead/headercodec.h
+++ b/src/include/reachlead/headercodec.h
@@ -35,7 +35,7 @@
 struct CallMetadata
 {
     std::string attemptId; ///< unique for each attempt of the caller; empty: none
-    std::string apiKey; ///< the API key; empty: none
+    std::string apiKey; ///< empty: none
     std::optional<Duration> timeout; ///< how long the caller waits for the answer
     std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller has received
     std::string model; ///< empty: not a call to a model
