--- a/src/libreachlead/claimtable_test.cpp
+++ b/src/libreachlead/claimtable_test.cpp
@@ -73,17 +73,17 @@
     struct Agent
     {
         Store *store;
-        ClaimTable book;
+        ClaimTable table;
         std::vector<ClaimAction> calls; ///< pending, oldest first
         std::map<std::uint64_t, ClaimResult> results; ///< by sequence of the request
 
         explicit Agent(Store *s, std::int64_t *wall, ClaimTuning tuning = {})
-            : store(s), book(serviceTarget("yard"), tuning, [wall] { return *wall; })
+            : store(s), table(serviceTarget("yard"), tuning, [wall] { return *wall; })
         { }
 
         void collect()
         {
-            for (ClaimAction &action : book.takeActions()) {
+            for (ClaimAction &action : table.takeActions()) {
                 if (const auto *completed = std::get_if<ClaimCompleted>(&action))
                     results[completed->key.id.sequence] = completed->result;
                 else
@@ -104,7 +104,7 @@
 
         void answer(ClaimCallId call, const PlatformReply &reply, Time now)
         {
-            book.replyReceived(call, reply, now);
+            table.replyReceived(call, reply, now);
             collect();
         }
 
@@ -119,14 +119,14 @@
 
         void claim(std::uint64_t sequence, const std::string &key, Time now)
         {
-            book.claim({{RequestId{Incarnation{1}, sequence}, 1}, AccountName("depot"), key}, now);
+            table.claim({{RequestId{Incarnation{1}, sequence}, 1}, AccountName("depot"), key}, now);
             collect();
         }
 
         void release(std::uint64_t sequence, const std::string &key, Time now)
         {
-            book.release({{RequestId{Incarnation{1}, sequence}, 1}, AccountName("depot"), key},
-                         now);
+            table.release({{RequestId{Incarnation{1}, sequence}, 1}, AccountName("depot"), key},
+                          now);
             collect();
         }
     };
@@ -163,7 +163,7 @@
         CPPUNIT_ASSERT(written.ok());
         agent.answer(write, withStatus(PlatformStatus::Indeterminate), start);
         CPPUNIT_ASSERT(agent.results.empty()); // nothing is reported before the read-back
-        agent.book.tick(start + seconds(1));
+        agent.table.tick(start + seconds(1));
         agent.settle(start + seconds(1));
         CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::Granted);
         CPPUNIT_ASSERT_EQUAL(1U, m_store.writes);
@@ -179,7 +179,7 @@
         const ClaimCallId call = write.call;
         agent.calls.clear(); // did not reach the store
         agent.answer(call, withStatus(PlatformStatus::Indeterminate), start);
-        agent.book.tick(start + seconds(1));
+        agent.table.tick(start + seconds(1));
         agent.settle(start + seconds(1));
         CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::Granted);
         CPPUNIT_ASSERT_EQUAL(1U, m_store.writes);
@@ -190,7 +190,7 @@
         Agent agent(&m_store, &m_wall);
         agent.claim(1, "k", start);
         for (Time now = start; now < start + seconds(3); now += milliseconds(100)) {
-            agent.book.tick(now);
+            agent.table.tick(now);
             agent.collect();
             while (!agent.calls.empty()) {
                 const auto call = std::get<ReadSlots>(agent.calls.front()).call;
@@ -210,12 +210,12 @@
         auto [write, written] = agent.take();
         agent.answer(write, withStatus(PlatformStatus::Indeterminate), start);
         const Time late = start + seconds(3); // the store could not be read in time
-        agent.book.tick(late);
+        agent.table.tick(late);
         agent.collect();
         CPPUNIT_ASSERT(agent.results.at(1) == ClaimResult::StoreDown);
         agent.settle(late);
         agent.claim(2, "k", late + seconds(1));
-        agent.book.tick(late + seconds(1));
+        agent.table.tick(late + seconds(1));
         agent.settle(late + seconds(1));
         CPPUNIT_ASSERT(agent.results.at(2) == ClaimResult::Granted);
     }
@@ -257,11 +257,11 @@
         Agent second(&m_store, &m_wall);
         first.claim(1, "k", start);
         first.settle(start);
-        second.book.claim({{RequestId{Incarnation{1}, 1}, 2}, AccountName("depot"), "k"}, start);
+        second.table.claim({{RequestId{Incarnation{1}, 1}, 2}, AccountName("depot"), "k"}, start);
         second.settle(start);
         first.release(1, "k", start + seconds(1));
         first.settle(start + seconds(1));
-        first.book.tick(start + seconds(2));
+        first.table.tick(start + seconds(2));
         first.settle(start + seconds(2));
         Agent third(&m_store, &m_wall);
         third.claim(9, "k", start + seconds(3));
@@ -329,7 +329,7 @@
             for (const unsigned step : steps) {
                 Agent &agent = agents.at(step % 2);
                 now += milliseconds(50);
-                agent.book.tick(now);
+                agent.table.tick(now);
                 agent.collect();
                 const unsigned operation = step / 2;
                 if (operation < 6) {
