--- a/src/caller/callerconnection.cpp
+++ b/src/caller/callerconnection.cpp
@@ -111,7 +111,7 @@
 {
     if (m_buffer.size() > 0)
         co_return true;
-    setLimit(m_server.m_options.idleTime);
+    setLimit(m_server.m_options.idleTimeout);
     const auto [ec] = co_await m_socket.async_wait(asio::socket_base::wait_read, quietly);
     clearLimit();
     co_return !ec && !m_timedOut;
@@ -121,15 +121,15 @@
 asio::awaitable<std::optional<CallerConnection::Request>> CallerConnection::readRequest()
 {
     http::request_parser<http::string_body> parser;
-    parser.header_limit(m_server.m_options.largestHeader);
-    parser.body_limit(m_server.m_options.largestBody);
-    setLimit(m_server.m_options.headerTime);
+    parser.header_limit(m_server.m_options.maxHeaderBytes);
+    parser.body_limit(m_server.m_options.maxBodyBytes);
+    setLimit(m_server.m_options.headerTimeout);
     auto [ec, n] = co_await http::async_read_header(m_socket, m_buffer, parser, quietly);
     if (!ec) {
-        if (view(parser.get()[http::field::expect]) == "100-continue"
+        if (toStringView(parser.get()[http::field::expect]) == "100-continue"
             && !co_await write("HTTP/1.1 100 Continue\r\n\r\n"))
             co_return std::nullopt;
-        setLimit(m_server.m_options.bodyTime);
+        setLimit(m_server.m_options.bodyTimeout);
         const auto [bodyError, m] = co_await http::async_read(m_socket, m_buffer, parser, quietly);
         ec = bodyError;
     }
@@ -169,7 +169,7 @@
 /// Serves the pages that need no upstream.
 asio::awaitable<bool> CallerConnection::servePage(const Request &request, bool *served)
 {
-    const std::string_view path = view(request.target());
+    const std::string_view path = toStringView(request.target());
     *served = true;
     if (path == "/healthz") {
         const bool well = !m_server.m_stopping && m_server.policies();
@@ -234,7 +234,7 @@
         else
             more = co_await wholeAnswer(exchange, slot);
         if (m_gone && slot->setDisconnected())
-            m_server.m_hooks.look(slot);
+            m_server.m_hooks.callerStateChanged(slot);
         beast::error_code ignored;
         m_socket.cancel(ignored); // ends the watch
     }
@@ -278,7 +278,7 @@
 void CallerConnection::tookTokens(const AnswerChannelPtr &slot, std::uint64_t tokens)
 {
     if (tokens > 0 && slot->addConsumed(tokens))
-        m_server.m_hooks.look(slot);
+        m_server.m_hooks.callerStateChanged(slot);
 }
 
 asio::awaitable<bool> CallerConnection::streamAnswer(const Exchange &exchange,
@@ -295,7 +295,7 @@
         const AnswerResult *end = nullptr;
         for (const CallerEvent &event : events) {
             if (const auto *text = std::get_if<AnswerText>(&event)) {
-                out += chunked(writer.piece(text->text));
+                out += chunked(writer.chunk(text->text));
                 tokens += text->tokens;
             } else {
                 end = std::get_if<AnswerResult>(&event);
@@ -355,11 +355,11 @@
     if (exchange.completion) {
         const AnswerWriter writer(*exchange.completion, slot->id(), exchange.model);
         headers.push_back({"Content-Type", "application/json"});
-        co_return co_await writeWhole(200, std::move(headers), writer.whole(text, end->tokens),
+        co_return co_await writeWhole(200, std::move(headers), writer.fullAnswer(text, end->tokens),
                                       exchange.keepAlive);
     }
     std::ranges::copy_if(whole->headers, std::back_inserter(headers),
-                         [](const Header &header) { return !staysHere(header.name); });
+                         [](const Header &header) { return !isStrippedHeader(header.name); });
     co_return co_await writeWhole(whole->status, std::move(headers), std::move(whole->body),
                                   exchange.keepAlive, exchange.head);
 }
@@ -368,7 +368,7 @@
 
 asio::awaitable<bool> CallerConnection::write(std::string bytes)
 {
-    setLimit(m_server.m_options.writeTime);
+    setLimit(m_server.m_options.writeTimeout);
     const auto [ec, n] = co_await asio::async_write(m_socket, asio::buffer(bytes), quietly);
     clearLimit();
     co_return !ec;
@@ -378,7 +378,7 @@
                                                    std::string body, bool keepAlive, bool head)
 {
     const bool keep = keepAlive && !m_server.m_closing;
-    const auto reason = view(http::obsolete_reason(static_cast<http::status>(status)));
+    const auto reason = toStringView(http::obsolete_reason(static_cast<http::status>(status)));
     std::string out = fmt::format("HTTP/1.1 {} {}\r\n", status, reason);
     for (const Header &header : headers)
         out += fmt::format("{}: {}\r\n", header.name, header.value);
--- a/src/caller/callerconnection_admit.cpp
+++ b/src/caller/callerconnection_admit.cpp
@@ -25,7 +25,7 @@
 
 std::string_view headerOf(const http::fields &fields, std::string_view name)
 {
-    return view(fields[beast::string_view(name.data(), name.size())]);
+    return toStringView(fields[beast::string_view(name.data(), name.size())]);
 }
 
 } // namespace
@@ -91,17 +91,17 @@
 
 CallerConnection::Refusal CallerConnection::readTarget(const Request &request, Exchange *exchange)
 {
-    const std::string_view path = view(request.target());
+    const std::string_view path = toStringView(request.target());
     CallerRequest &ask = exchange->ask;
-    ask.call.method = view(request.method_string());
+    ask.call.method = toStringView(request.method_string());
     ask.call.body = request.body();
     const bool chat = path == "/v1/chat/completions";
     if (chat || path == "/v1/completions") {
         if (request.method() != http::verb::post)
             return {ErrorKind::MethodNotAllowed, "expected POST"};
-        exchange->completion = chat ? CompletionKind::Chat : CompletionKind::Plain;
+        exchange->completion = chat ? CompletionKind::Chat : CompletionKind::Text;
         std::string reason;
-        auto parsed = parseModelAsk(ask.call.body, *exchange->completion, &reason);
+        auto parsed = parseCompletionRequest(ask.call.body, *exchange->completion, &reason);
         if (!parsed)
             return {ErrorKind::BadRequest, reason};
         ask.target = modelTarget(parsed->model);
@@ -121,7 +121,7 @@
         if (ask.call.path.front() != '/')
             ask.call.path.insert(0, "/");
         for (const auto &field : request) {
-            if (!staysHere(view(field.name_string())))
+            if (!isStrippedHeader(toStringView(field.name_string())))
                 ask.call.headers.push_back(
                     {std::string(field.name_string()), std::string(field.value())});
         }
--- a/src/caller/callerserver.cpp
+++ b/src/caller/callerserver.cpp
@@ -22,7 +22,7 @@
           m_io,
           tcp::endpoint(asio::ip::make_address(m_options.listen.address), m_options.listen.port)),
       m_port(m_acceptor.local_endpoint().port()),
-      m_ready(m_options.mostOpen * 2, [this] { asio::post(m_io, [this] { takeReady(); }); })
+      m_ready(m_options.maxOpenRequests * 2, [this] { asio::post(m_io, [this] { takeReady(); }); })
 {
     m_acceptor.listen(asio::socket_base::max_listen_connections);
     m_thread = std::thread([this] { run(); });
@@ -54,7 +54,7 @@
     m_acceptor.async_accept([this](boost::system::error_code ec, tcp::socket socket) {
         if (ec == asio::error::operation_aborted || !m_acceptor.is_open())
             return;
-        if (!ec && m_connectionCount < m_options.mostConnections) {
+        if (!ec && m_connectionCount < m_options.maxConnections) {
             const auto connection = std::make_shared<CallerConnection>(*this, std::move(socket));
             std::erase_if(m_connections, [](const auto &weak) { return weak.expired(); });
             m_connections.push_back(connection);
@@ -69,7 +69,7 @@
     });
 }
 
-void CallerServer::announce(AnswerChannelPtr slot)
+void CallerServer::notifyReady(AnswerChannelPtr slot)
 {
     if (!m_ready.push(std::move(slot)))
         m_options.counters->add(Counter::RingFull);
@@ -88,7 +88,7 @@
 bool CallerServer::takePlace(Tier tier)
 {
     constexpr std::size_t parts = 10;
-    const std::size_t bound = m_options.mostOpen * (parts - indexOf(tier)) / parts;
+    const std::size_t bound = m_options.maxOpenRequests * (parts - indexOf(tier)) / parts;
     if (m_open >= bound)
         return false;
     ++m_open;
--- a/src/caller/callerserver.h
+++ b/src/caller/callerserver.h
@@ -32,7 +32,7 @@
     /// Hands a request over; false when there is no room for its tier.
     std::function<bool(Tier, CallerRequest, AnswerChannelPtr)> submit;
     /// Has the other thread look at what the caller said.
-    std::function<void(const AnswerChannelPtr &)> look;
+    std::function<void(const AnswerChannelPtr &)> callerStateChanged;
 };
 
 /// Takes callers' requests. The public functions may be called from any thread.
@@ -44,14 +44,15 @@
         Endpoint listen;
         Incarnation incarnation;
         Counters *counters = nullptr;
-        std::size_t mostConnections = 20000;
-        std::size_t mostOpen = 8192; ///< open requests; the lower tiers may fill less of them
-        std::uint32_t largestHeader = 16U << 10U;
-        std::uint64_t largestBody = 1U << 20U;
-        Duration headerTime = seconds(10);
-        Duration bodyTime = seconds(30);
-        Duration idleTime = seconds(75);
-        Duration writeTime = seconds(30); ///< a caller that takes nothing for so long is gone
+        std::size_t maxConnections = 20000;
+        std::size_t maxOpenRequests =
+            8192; ///< open requests; the lower tiers may fill less of them
+        std::uint32_t maxHeaderBytes = 16U << 10U;
+        std::uint64_t maxBodyBytes = 1U << 20U;
+        Duration headerTimeout = seconds(10);
+        Duration bodyTimeout = seconds(30);
+        Duration idleTimeout = seconds(75);
+        Duration writeTimeout = seconds(30); ///< a caller that takes nothing for so long is gone
     };
 
     CallerServer(Options options, CallerHooks hooks);
@@ -60,7 +61,7 @@
     std::uint16_t port() const { return m_port; }
 
     /// Tells this thread that a slot has events. Called by the dispatching thread.
-    void announce(AnswerChannelPtr slot);
+    void notifyReady(AnswerChannelPtr slot);
 
     void setPolicies(PoliciesPtr policies);
     void setTargets(std::vector<TargetName> targets);
--- a/src/caller/callerstream.cpp
+++ b/src/caller/callerstream.cpp
@@ -47,7 +47,7 @@
 
 bool CallerStream::wantsMore() const
 {
-    return m_reading || m_input.size() < mostAhead;
+    return m_reading || m_input.size() < maxReadAheadBytes;
 }
 
 asio::awaitable<void> CallerStream::readLoop()
@@ -103,7 +103,7 @@
     return RuntimeClock::now() + milliseconds(limits.idleTimeoutMs);
 }
 
-asio::awaitable<std::optional<CallerRequest>> CallerStream::read(const CallerLimits &limits)
+asio::awaitable<std::optional<CallerHttpRequest>> CallerStream::read(const CallerLimits &limits)
 {
     http::request_parser<http::string_body> parser;
     parser.eager(true);
@@ -138,7 +138,7 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<bool> CallerStream::send(WholeAnswer answer)
+asio::awaitable<bool> CallerStream::send(FullAnswer answer)
 {
     error_code ec;
     co_await http::async_write(m_socket, answer, keepError(&ec));
@@ -155,7 +155,7 @@
     co_return !ec;
 }
 
-asio::awaitable<bool> CallerStream::sendPiece(std::string_view bytes)
+asio::awaitable<bool> CallerStream::sendChunk(std::string_view bytes)
 {
     error_code ec;
     const asio::const_buffer buf(bytes.data(), bytes.size());
@@ -166,7 +166,7 @@
     co_return !ec;
 }
 
-asio::awaitable<bool> CallerStream::sendEnd()
+asio::awaitable<bool> CallerStream::finishAnswer()
 {
     error_code ec;
     if (m_chunked)
@@ -175,7 +175,7 @@
     co_return !ec;
 }
 
-asio::awaitable<void> CallerStream::closeGently()
+asio::awaitable<void> CallerStream::closeGracefully()
 {
     error_code ec;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ec);
@@ -194,7 +194,7 @@
     markGone();
 }
 
-void CallerStream::endWhenIdle()
+void CallerStream::stopWhenIdle()
 {
     m_endWhenIdle = true;
     m_arrived.notify();
--- a/src/caller/callerstream.h
+++ b/src/caller/callerstream.h
@@ -26,10 +26,10 @@
 namespace reachlead {
 
 /// A request with its whole body.
-using CallerRequest = boost::beast::http::request<boost::beast::http::string_body>;
+using CallerHttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
 /// An answer with its whole body.
-using WholeAnswer = boost::beast::http::response<boost::beast::http::string_body>;
+using FullAnswer = boost::beast::http::response<boost::beast::http::string_body>;
 
 /// The head of an answer whose body follows in pieces.
 using AnswerHead = boost::beast::http::response<boost::beast::http::empty_body>;
@@ -48,37 +48,37 @@
 
     /// The next whole request. Empty when there is none: error() then says why, and kind None means
     /// that the caller ended the connection or stayed idle.
-    boost::asio::awaitable<std::optional<CallerRequest>> read(const CallerLimits &limits);
+    boost::asio::awaitable<std::optional<CallerHttpRequest>> read(const CallerLimits &limits);
 
     /// Sends a whole answer; false when the connection broke.
-    boost::asio::awaitable<bool> send(WholeAnswer answer);
+    boost::asio::awaitable<bool> send(FullAnswer answer);
 
     /// Sends the head of an answer in pieces, then pieces, then its end. False when it broke.
     boost::asio::awaitable<bool> sendHead(AnswerHead head);
-    boost::asio::awaitable<bool> sendPiece(std::string_view bytes);
-    boost::asio::awaitable<bool> sendEnd();
+    boost::asio::awaitable<bool> sendChunk(std::string_view bytes);
+    boost::asio::awaitable<bool> finishAnswer();
 
     /// Closes for sending, leaves the caller lingerTime to read the last answer, and closes. Bytes
     /// that arrive meanwhile are not read.
-    boost::asio::awaitable<void> closeGently();
+    boost::asio::awaitable<void> closeGracefully();
 
     /// Closes at once; an answer under way is seen to be cut.
     void abort();
 
     /// Ends read() when no byte of a request has arrived: for a planned stop.
-    void endWhenIdle();
+    void stopWhenIdle();
 
     /// Called once, when the caller closes or the connection breaks; then forgotten.
-    void onGone(std::function<void()> callback) { m_onGone = std::move(callback); }
-    void forgetGone() { m_onGone = nullptr; }
+    void onDisconnected(std::function<void()> callback) { m_onGone = std::move(callback); }
+    void clearOnDisconnected() { m_onGone = nullptr; }
 
-    bool isGone() const { return m_gone; }
+    bool isDisconnected() const { return m_gone; }
     /// True between the first byte of a request and the end of its answer.
     bool isBusy() const { return m_busy; }
     const Error &error() const { return m_error; }
 
     /// Bytes that are read ahead of the request that is at work; more wait in the kernel.
-    static constexpr std::size_t mostAhead = 64U << 10U;
+    static constexpr std::size_t maxReadAheadBytes = 64U << 10U;
     /// Time for a caller to close after the last answer: a few round trips.
     static constexpr Duration lingerTime = milliseconds(500);
 
--- a/src/caller/headers.cpp
+++ b/src/caller/headers.cpp
@@ -10,7 +10,7 @@
 
 namespace reachlead {
 
-bool staysHere(std::string_view name)
+bool isStrippedHeader(std::string_view name)
 {
     constexpr std::array<std::string_view, 11> names{
         "connection", "keep-alive",    "transfer-encoding", "te",     "trailer",         "upgrade",
--- a/src/caller/headers.h
+++ b/src/caller/headers.h
@@ -14,10 +14,10 @@
 
 /// Headers of a service's call or answer that belong to one connection alone (RFC 9110, 7.6.1),
 /// or are secrets between the caller and this router.
-bool staysHere(std::string_view name);
+bool isStrippedHeader(std::string_view name);
 
 /// Beast's string view as the standard's.
-inline std::string_view view(boost::beast::string_view text)
+inline std::string_view toStringView(boost::beast::string_view text)
 {
     return {text.data(), text.size()};
 }
--- a/src/caller/openai.cpp
+++ b/src/caller/openai.cpp
@@ -30,7 +30,7 @@
 
 bool hasShape(const json::object &root, CompletionKind kind)
 {
-    if (kind == CompletionKind::Plain)
+    if (kind == CompletionKind::Text)
         return root.contains("prompt");
     const json::value *messages = root.if_contains("messages");
     return messages && messages->is_array() && !messages->as_array().empty();
@@ -65,8 +65,8 @@
     return out;
 }
 
-std::optional<ModelAsk> parseModelAsk(std::string_view body, CompletionKind kind,
-                                      std::string *reason)
+std::optional<CompletionRequest> parseCompletionRequest(std::string_view body, CompletionKind kind,
+                                                        std::string *reason)
 {
     json::error_code ec;
     json::parse_options options;
@@ -87,7 +87,7 @@
             kind == CompletionKind::Chat ? "'messages' is missing or empty" : "'prompt' is missing";
         return std::nullopt;
     }
-    ModelAsk ask;
+    CompletionRequest ask;
     ask.model = std::string(model->get_string());
     const json::value *stream = root.if_contains("stream");
     if (stream && !stream->is_bool() && !stream->is_null()) {
@@ -113,7 +113,7 @@
                        m_created, m_model);
 }
 
-std::string AnswerWriter::piece(std::string_view text) const
+std::string AnswerWriter::chunk(std::string_view text) const
 {
     const std::string quoted = quoteJson(text);
     if (m_kind == CompletionKind::Chat)
@@ -134,7 +134,7 @@
                        chat ? "\"delta\":{}" : "\"text\":\"\"", tokens);
 }
 
-std::string AnswerWriter::whole(std::string_view text, std::uint64_t tokens) const
+std::string AnswerWriter::fullAnswer(std::string_view text, std::uint64_t tokens) const
 {
     const std::string quoted = quoteJson(text);
     const bool chat = m_kind == CompletionKind::Chat;
--- a/src/caller/openai.h
+++ b/src/caller/openai.h
@@ -17,10 +17,10 @@
 namespace reachlead {
 
 /// The two kinds of completion.
-enum class CompletionKind : std::uint8_t { Chat, Plain };
+enum class CompletionKind : std::uint8_t { Chat, Text };
 
 /// What the router needs of a completion request.
-struct ModelAsk
+struct CompletionRequest
 {
     std::string model;
     bool stream = false;
@@ -28,8 +28,8 @@
 };
 
 /// Reads a request body; empty with \p reason set when it has another shape.
-std::optional<ModelAsk> parseModelAsk(std::string_view body, CompletionKind kind,
-                                      std::string *reason);
+std::optional<CompletionRequest> parseCompletionRequest(std::string_view body, CompletionKind kind,
+                                                        std::string *reason);
 
 /// Writes the JSON of one answer; holds what its pieces have in common.
 class AnswerWriter
@@ -38,11 +38,11 @@
     AnswerWriter(CompletionKind kind, const RequestId &id, std::string_view model);
 
     /// One server-sent event with a piece of the text.
-    std::string piece(std::string_view text) const;
+    std::string chunk(std::string_view text) const;
     /// The last events of a whole answer.
     std::string finish(std::uint64_t tokens) const;
     /// A whole answer in one JSON text.
-    std::string whole(std::string_view text, std::uint64_t tokens) const;
+    std::string fullAnswer(std::string_view text, std::uint64_t tokens) const;
 
 private:
     std::string head(std::string_view object) const;
--- a/src/caller/openai_test.cpp
+++ b/src/caller/openai_test.cpp
@@ -23,12 +23,12 @@
     void readsBothKinds()
     {
         std::string reason;
-        const auto chat = parseModelAsk(
+        const auto chat = parseCompletionRequest(
             R"({"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]})",
             CompletionKind::Chat, &reason);
         CPPUNIT_ASSERT(chat && chat->stream && chat->model == "m" && chat->prefixHash != 0);
         const auto plain =
-            parseModelAsk(R"({"model":"m","prompt":"x"})", CompletionKind::Plain, &reason);
+            parseCompletionRequest(R"({"model":"m","prompt":"x"})", CompletionKind::Text, &reason);
         CPPUNIT_ASSERT(plain && !plain->stream);
     }
 
@@ -36,7 +36,7 @@
     {
         const auto reasonOf = [](std::string_view body) {
             std::string reason;
-            CPPUNIT_ASSERT(!parseModelAsk(body, CompletionKind::Chat, &reason));
+            CPPUNIT_ASSERT(!parseCompletionRequest(body, CompletionKind::Chat, &reason));
             return reason;
         };
         CPPUNIT_ASSERT_EQUAL(std::string("the body is not a JSON object"), reasonOf("[1]"));
@@ -54,7 +54,7 @@
     {
         const bool good = rc::check("any bytes", [](const std::string &bytes) {
             std::string reason;
-            (void)parseModelAsk(bytes, CompletionKind::Chat, &reason);
+            (void)parseCompletionRequest(bytes, CompletionKind::Chat, &reason);
         });
         CPPUNIT_ASSERT(good);
     }
@@ -71,11 +71,11 @@
     void answersAreJson()
     {
         const RequestId id{Incarnation{1}, 2};
-        for (const auto kind : {CompletionKind::Chat, CompletionKind::Plain}) {
+        for (const auto kind : {CompletionKind::Chat, CompletionKind::Text}) {
             const AnswerWriter writer(kind, id, "m\"x");
-            const auto whole = boost::json::parse(writer.whole("a\nb", 2));
+            const auto whole = boost::json::parse(writer.fullAnswer("a\nb", 2));
             CPPUNIT_ASSERT(whole.at("usage").at("completion_tokens") == 2);
-            const std::string piece = writer.piece("t");
+            const std::string piece = writer.chunk("t");
             CPPUNIT_ASSERT(piece.starts_with("data: {") && piece.ends_with("}\n\n"));
             boost::json::parse(piece.substr(6));
             CPPUNIT_ASSERT(writer.finish(2).ends_with("data: [DONE]\n\n"));
--- a/src/forward/crashwatch.cpp
+++ b/src/forward/crashdetector.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "crashwatch.h"
+#include "crashdetector.h"
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 
 namespace asio = boost::asio;
 
-void CrashWatch::lost(const UpstreamEntry &entry, const RequestDigest &request)
+void CrashDetector::connectionLost(const UpstreamEntry &entry, const RequestDigest &request)
 {
     dropExpired(RuntimeClock::now());
     if (m_ended.contains(entry.id)) {
@@ -27,16 +27,16 @@
         asio::co_spawn(m_io, look(entry), asio::detached);
 }
 
-asio::awaitable<void> CrashWatch::look(UpstreamEntry entry)
+asio::awaitable<void> CrashDetector::look(UpstreamEntry entry)
 {
     ConnectFailure failure;
-    UpstreamChannelPtr channel = co_await m_pool.connect(entry, connectLimit, &failure);
+    UpstreamChannelPtr channel = co_await m_pool.connect(entry, connectTimeout, &failure);
     const auto it = m_open.find(entry.id);
     const std::vector<RequestDigest> requests = std::move(it->second);
     m_open.erase(it);
     if (channel)
         m_pool.giveBack(entry.id, std::move(channel));
-    if (!failure.nobodyListens)
+    if (!failure.connectionRefused)
         co_return;
     const Time now = RuntimeClock::now();
     m_ended[entry.id] = now;
@@ -51,9 +51,9 @@
         m_onEnded(request, entry.id);
 }
 
-void CrashWatch::dropExpired(Time now)
+void CrashDetector::dropExpired(Time now)
 {
-    std::erase_if(m_ended, [&](const auto &it) { return it.second + knownFor < now; });
+    std::erase_if(m_ended, [&](const auto &it) { return it.second + crashRetention < now; });
 }
 
 } // namespace reachlead
--- a/src/forward/forwardcall.cpp
+++ b/src/forward/forwardcall.cpp
@@ -26,10 +26,11 @@
 
 } // namespace
 
-ForwardCall::ForwardCall(ForwardShared &shared, CallerStream &caller, CallerRequest request)
-    : m_shared(shared), m_calls(shared.calls), m_caller(caller), m_request(std::move(request)),
-      m_metadata(shared.headerCodec.readCall(m_request)), m_table(shared.state.table()),
-      m_arrived(RuntimeClock::now()), m_limit(m_arrived + defaultPatience), m_timer(shared.io)
+ForwardCall::ForwardCall(ForwardContext &shared, CallerStream &caller, CallerHttpRequest request)
+    : m_shared(shared), m_calls(shared.activeCalls), m_caller(caller),
+      m_request(std::move(request)), m_metadata(shared.headerCodec.readCall(m_request)),
+      m_table(shared.state.table()), m_arrived(RuntimeClock::now()),
+      m_limit(m_arrived + defaultPatience), m_timer(shared.io)
 {
     m_shared.counters.add(Counter::RequestsAccepted);
     m_shared.counters.adjust(Gauge::OpenRequests, 1);
@@ -39,7 +40,7 @@
 ForwardCall::~ForwardCall()
 {
     m_calls->erase(this);
-    m_caller.forgetGone();
+    m_caller.clearOnDisconnected();
     m_shared.counters.adjust(Gauge::OpenRequests, -1);
 }
 
@@ -107,8 +108,8 @@
         if (!alive.expired())
             stop(why);
     };
-    m_caller.onGone([stopIfAlive] { stopIfAlive(Stop::CallerDisconnected); });
-    if (m_caller.isGone())
+    m_caller.onDisconnected([stopIfAlive] { stopIfAlive(Stop::CallerDisconnected); });
+    if (m_caller.isDisconnected())
         stop(Stop::CallerDisconnected);
     m_timer.expires_at(m_limit);
     m_timer.async_wait([stopIfAlive](const boost::system::error_code &ec) {
@@ -178,9 +179,9 @@
     bool sent = false;
     if (m_headDelivered) {
         if (m_bodyWhole)
-            sent = co_await m_caller.sendEnd();
+            sent = co_await m_caller.finishAnswer();
     } else {
-        WholeAnswer answer;
+        FullAnswer answer;
         answer.version(11);
         copyEndToEnd(m_exchange->head(), &answer.base());
         answer.result(m_exchange->status());
@@ -203,7 +204,7 @@
     m_shared.counters.refused(error.kind);
     if (m_lastReason.empty())
         m_lastReason = error.reason;
-    if (m_caller.isGone()) {
+    if (m_caller.isDisconnected()) {
         report("caller-gone", error.kind, 0);
         co_return false;
     }
@@ -212,8 +213,8 @@
     std::optional<Duration> patience;
     if (m_metadata.timeout)
         patience = *m_metadata.timeout - (RuntimeClock::now() - m_arrived);
-    const auto comeBack = m_comeBack ? m_comeBack : comeBackAfter(error.kind, patience);
-    WholeAnswer answer = makeRefusal(error, comeBack, keepAlive);
+    const auto comeBack = m_comeBack ? m_comeBack : computeRetryAfter(error.kind, patience);
+    FullAnswer answer = makeRefusal(error, comeBack, keepAlive);
     report("refused", error.kind, answer.result_int());
     const bool sent = co_await m_caller.send(std::move(answer));
     co_return sent &&keepAlive;
--- a/src/forward/forwardcall.h
+++ b/src/forward/forwardcall.h
@@ -24,7 +24,7 @@
 class ForwardCall
 {
 public:
-    ForwardCall(ForwardShared &shared, CallerStream &caller, CallerRequest request);
+    ForwardCall(ForwardContext &shared, CallerStream &caller, CallerHttpRequest request);
     ~ForwardCall();
     ForwardCall(const ForwardCall &) = delete;
     ForwardCall &operator=(const ForwardCall &) = delete;
@@ -36,7 +36,7 @@
     boost::asio::awaitable<bool> refuse(const Error &error);
 
     /// Ends the call at once, as the process ends: what is under way at the upstream is broken off.
-    void giveUp() { stop(Stop::ProcessEnds); }
+    void terminate() { stop(Stop::ProcessEnds); }
 
 private:
     /// Why a send was broken off from this side.
@@ -87,10 +87,10 @@
     Duration timeLeft() const { return m_limit - RuntimeClock::now(); }
     ErrorKind kindOfStop() const;
 
-    ForwardShared &m_shared;
+    ForwardContext &m_shared;
     std::shared_ptr<std::set<ForwardCall *>> m_calls; ///< with this one
     CallerStream &m_caller;
-    CallerRequest m_request;
+    CallerHttpRequest m_request;
     CallMetadata m_metadata;
     std::optional<RequestDigest> m_digest; ///< once it was asked for: bodies may be long
     RouteTablePtr m_table; ///< in force when the request arrived
--- a/src/forward/forwardcall_answer.cpp
+++ b/src/forward/forwardcall_answer.cpp
@@ -88,7 +88,7 @@
 {
     m_wholeBody.clear();
     while (true) {
-        const auto piece = co_await m_exchange->readPiece();
+        const auto piece = co_await m_exchange->readSome();
         if (!piece)
             co_return brokenEnd();
         noteFirst();
@@ -107,9 +107,9 @@
     std::optional<std::string> piece = std::move(first);
     bool sent = co_await sendHead();
     while (sent && piece && !piece->empty()) {
-        sent = co_await m_caller.sendPiece(*piece);
+        sent = co_await m_caller.sendChunk(*piece);
         if (sent)
-            piece = co_await m_exchange->readPiece();
+            piece = co_await m_exchange->readSome();
     }
     if (!sent)
         co_return SendResult::Lost;
@@ -124,7 +124,7 @@
 {
     m_events.dropPartialEvent();
     while (true) {
-        const auto piece = co_await m_exchange->readPiece();
+        const auto piece = co_await m_exchange->readSome();
         if (!piece)
             co_return brokenEnd();
         if (piece->empty())
@@ -158,7 +158,7 @@
         if (!sent)
             co_return false;
     }
-    co_return co_await m_caller.sendPiece(events);
+    co_return co_await m_caller.sendChunk(events);
 }
 
 /// Keeps the longest pause, and what was read beside the stream when it ended.
@@ -205,8 +205,8 @@
     const bool isRefused = m_exchange && m_exchange->metadata().notRun;
     if (isRefused || std::exchange(m_hasBegun, true))
         return;
-    if (m_account != nullptr && m_shared.began)
-        m_shared.began(m_account->name);
+    if (m_account != nullptr && m_shared.onExecutionStarted)
+        m_shared.onExecutionStarted(m_account->name);
 }
 
 asio::awaitable<bool> ForwardCall::sendHead()
--- a/src/forward/forwardcall_send.cpp
+++ b/src/forward/forwardcall_send.cpp
@@ -12,7 +12,7 @@
 
 #include <reachlead/log.h>
 
-#include "crashwatch.h"
+#include "crashdetector.h"
 
 namespace reachlead {
 
@@ -46,11 +46,11 @@
     GatewayState &state = m_shared.state;
     SelectionQuery ask = makeAsk();
     PlacementResult placed;
-    if (m_shared.adviser == nullptr) {
+    if (m_shared.selector == nullptr) {
         placed.selection = state.upstreams().select(ask, state.directory(), RuntimeClock::now());
         co_return placed;
     }
-    placed = co_await m_shared.adviser->select(std::move(ask));
+    placed = co_await m_shared.selector->select(std::move(ask));
     m_placedBy = placed.placedBy;
     m_placing += placed.duration;
     co_return placed;
@@ -190,7 +190,7 @@
     const Duration limit = std::min<Duration>(connectLimit, timeLeft());
     ConnectFailure failure;
     UpstreamChannelPtr channel = co_await m_shared.pool.connect(entry, limit, &failure);
-    m_nobodyListened = failure.nobodyListens;
+    m_nobodyListened = failure.connectionRefused;
     if (!channel)
         m_lastReason = failure.reason;
     else
@@ -225,7 +225,7 @@
     UpstreamCall call;
     call.method = m_request.method();
     const auto method = m_request.method_string();
-    call.methodText.assign(method.data(), method.size());
+    call.methodName.assign(method.data(), method.size());
     const auto target = m_request.target();
     call.target.assign(target.data(), target.size());
     call.body = m_request.body();
@@ -249,9 +249,9 @@
     if (m_exchange && m_lastReason.empty())
         m_lastReason = m_exchange->reason();
     const bool ownStop = m_stop != Stop::None;
-    if (end == SendResult::Complete && m_shared.cleared && mayBeSuspect()
+    if (end == SendResult::Complete && m_shared.onRequestCleared && mayBeSuspect()
         && m_shared.state.crashes().isSuspect(digest()))
-        m_shared.cleared(digest());
+        m_shared.onRequestCleared(digest());
     if (end == SendResult::Complete && !m_metadata.prompt.empty())
         book.recordCallDuration(m_service, RuntimeClock::now() - m_sentAt);
     if (end == SendResult::Complete || end == SendResult::ServerError)
@@ -265,8 +265,8 @@
     if (!m_channel)
         return;
     if (m_exchange && m_exchange->isReusable() && !ownStop) {
-        if (const auto limit = m_exchange->keepAlive())
-            m_channel->idleLimit = *limit;
+        if (const auto limit = m_exchange->keepAliveTimeout())
+            m_channel->idleTimeout = *limit;
         m_shared.pool.giveBack(entry.id, m_channel);
     } else {
         m_channel->close();
@@ -287,8 +287,8 @@
         .with("ahead", m_ahead)
         .with("running", m_shared.state.upstreams().load(entry.id, RuntimeClock::now()).running)
         .with("ms", static_cast<std::int64_t>(toMillis(RuntimeClock::now() - m_sentAt)));
-    if (m_shared.crashes != nullptr)
-        m_shared.crashes->lost(entry, digest());
+    if (m_shared.crashDetector != nullptr)
+        m_shared.crashDetector->connectionLost(entry, digest());
 }
 
 } // namespace reachlead
--- a/src/forward/forwarder.cpp
+++ b/src/forward/forwarder.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Forwarder::Forwarder(const Options &options, ForwardShared &shared)
+Forwarder::Forwarder(const Options &options, ForwardContext &shared)
     : m_options(options), m_shared(shared), m_acceptor(shared.io, endpointOf(options.listen))
 {
     asio::co_spawn(m_shared.io, acceptLoop(), asio::detached);
@@ -56,7 +56,7 @@
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             continue;
         }
-        if (m_open.size() >= m_options.mostConnections) {
+        if (m_open.size() >= m_options.maxConnections) {
             m_shared.counters.refused(ErrorKind::OpenRequests);
             continue; // closed unread, so the caller may come again
         }
@@ -74,8 +74,8 @@
     bool goOn = true;
     while (goOn)
         goOn = co_await serveOne(*caller);
-    if (!caller->isGone())
-        co_await caller->closeGently();
+    if (!caller->isDisconnected())
+        co_await caller->closeGracefully();
     caller->abort();
     m_open.erase(caller);
     m_shared.counters.adjust(Gauge::OpenConnections, -1);
@@ -84,21 +84,21 @@
 asio::awaitable<bool> Forwarder::serveOne(CallerStream &caller)
 {
     const CallerLimits bounds = limits();
-    std::optional<CallerRequest> request = co_await caller.read(bounds);
+    std::optional<CallerHttpRequest> request = co_await caller.read(bounds);
     if (!request) {
         const Error error = caller.error();
-        if (error.kind != ErrorKind::None && !caller.isGone()) {
+        if (error.kind != ErrorKind::None && !caller.isDisconnected()) {
             m_shared.counters.refused(error.kind);
             LogLine(LogLevel::Info, "request-unreadable")
                 .with("kind", errorRow(error.kind).name)
                 .with("reason", error.reason);
-            WholeAnswer answer = makeRefusal(error, std::nullopt, false);
+            FullAnswer answer = makeRefusal(error, std::nullopt, false);
             co_await caller.send(std::move(answer));
         }
         co_return false;
     }
     ForwardCall call(m_shared, caller, std::move(*request));
-    if (m_shared.takesRequests)
+    if (m_shared.acceptsRequests)
         co_return co_await call.run();
     const Error late{ErrorKind::RouterStopping, "the request came too late before the stop"};
     co_return co_await call.refuse(late);
@@ -111,18 +111,18 @@
 
 void Forwarder::closeIdle()
 {
-    m_shared.takesRequests = false;
+    m_shared.acceptsRequests = false;
     boost::system::error_code ec;
     m_acceptor.close(ec);
     for (const auto &caller : m_open)
-        caller->endWhenIdle();
+        caller->stopWhenIdle();
 }
 
-void Forwarder::giveUpCalls()
+void Forwarder::terminateCalls()
 {
-    const auto calls = *m_shared.calls; // a call that ends takes itself out
+    const auto calls = *m_shared.activeCalls; // a call that ends takes itself out
     for (ForwardCall *call : calls)
-        call->giveUp();
+        call->terminate();
 }
 
 void Forwarder::abortAll()
--- a/src/forward/forwarder.h
+++ b/src/forward/forwarder.h
@@ -25,29 +25,31 @@
 
 namespace reachlead {
 
-class CrashWatch;
+class CrashDetector;
 class ForwardCall;
 
 /// What all calls of a gateway share. One thread.
-struct ForwardShared
+struct ForwardContext
 {
     boost::asio::io_context &io;
     GatewayState &state;
     const HeaderCodec &headerCodec;
     Counters &counters;
     LatencyHistograms &latencies;
-    UpstreamPool pool;
+    ConnectionPool pool;
     std::mt19937_64 random{std::random_device{}()};
     /// Calls at work. Held by each of them, as the last ones end with the event loop.
-    std::shared_ptr<std::set<ForwardCall *>> calls = std::make_shared<std::set<ForwardCall *>>();
-    UpstreamSelector *adviser = nullptr; ///< chooses upstreams; null: the state's own book
-    CrashWatch *crashes = nullptr; ///< told of calls that lost their upstream; null: nobody is
+    std::shared_ptr<std::set<ForwardCall *>> activeCalls =
+        std::make_shared<std::set<ForwardCall *>>();
+    UpstreamSelector *selector = nullptr; ///< chooses upstreams; null: the state's own book
+    CrashDetector *crashDetector =
+        nullptr; ///< told of calls that lost their upstream; null: nobody is
     /// Told of a request that completed although an upstream had ended under it; may be empty.
-    std::function<void(const RequestDigest &)> cleared = {};
+    std::function<void(const RequestDigest &)> onRequestCleared = {};
     /// Told when an upstream began to work on a call of an account; may be empty.
-    std::function<void(const AccountName &)> began = {};
+    std::function<void(const AccountName &)> onExecutionStarted = {};
     bool stopping = false;
-    bool takesRequests = true; ///< what is read after that is refused as not run
+    bool acceptsRequests = true; ///< what is read after that is refused as not run
 };
 
 /// Accepts callers and serves each connection. One thread.
@@ -57,10 +59,10 @@
     struct Options
     {
         Endpoint listen;
-        std::size_t mostConnections = 3000; ///< open callers' connections
+        std::size_t maxConnections = 3000; ///< open callers' connections
     };
 
-    Forwarder(const Options &options, ForwardShared &shared);
+    Forwarder(const Options &options, ForwardContext &shared);
 
     /// Begins a planned stop: answers say that the connection ends, idle connections are closed
     /// when \p closeIdle is called, nothing at work is cut.
@@ -68,7 +70,7 @@
     void closeIdle();
 
     /// Ends the calls that are left: those whose answer has not begun are told so, the others cut.
-    void giveUpCalls();
+    void terminateCalls();
 
     /// Cuts what is left.
     void abortAll();
@@ -83,7 +85,7 @@
     const CallerLimits &limits() const;
 
     Options m_options;
-    ForwardShared &m_shared;
+    ForwardContext &m_shared;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::set<std::shared_ptr<CallerStream>> m_open;
 };
--- a/src/forward/refusal.cpp
+++ b/src/forward/refusal.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::optional<Duration> comeBackAfter(ErrorKind kind, std::optional<Duration> patience)
+std::optional<Duration> computeRetryAfter(ErrorKind kind, std::optional<Duration> patience)
 {
     const auto pause = errorRow(kind).retryAfter;
     if (!pause)
@@ -32,12 +32,12 @@
     return std::max<Duration>(shortestPause, std::min<Duration>(wanted, *patience / patiencePart));
 }
 
-WholeAnswer makeRefusal(const Error &error, std::optional<Duration> comeBack, bool keepAlive)
+FullAnswer makeRefusal(const Error &error, std::optional<Duration> comeBack, bool keepAlive)
 {
     const ErrorRow &row = errorRow(error.kind);
     const boost::json::object body{
         {"error", {{"kind", row.name}, {"outcome", toString(row.outcome)}, {"message", row.text}}}};
-    WholeAnswer answer;
+    FullAnswer answer;
     answer.version(11);
     answer.result(row.status);
     answer.set(http::field::content_type, "application/json");
--- a/src/objectapi/claimwriter.cpp
+++ b/src/objectapi/claimwriter.cpp
@@ -32,7 +32,7 @@
 ClaimWriter::ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onEnded)
     : m_options(std::move(options)), m_onEnded(std::move(onEnded)),
       m_book(m_options.target, m_options.tuning, timeOfDay),
-      m_platform(std::make_unique<HttpPlatform>(m_options.service, m_options.callLimit,
+      m_platform(std::make_unique<HttpPlatform>(m_options.service, m_options.callTimeout,
                                                 m_options.counters)),
       m_changes(ringSize, [this] { asio::post(m_io, [this] { takeChanges(); }); })
 {
--- a/src/objectapi/claimwriter.h
+++ b/src/objectapi/claimwriter.h
@@ -28,7 +28,7 @@
     {
         TargetName target;
         Endpoint service;
-        Duration callLimit = seconds(1);
+        Duration callTimeout = seconds(1);
         ClaimTuning tuning;
         Counters *counters = nullptr;
     };
--- a/src/objectapi/httpplatform.cpp
+++ b/src/objectapi/httpplatform.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "objectapi/wire.h"
+#include "objectapi/platformjson.h"
 
 namespace reachlead {
 
--- a/src/objectapi/follower.cpp
+++ b/src/objectapi/platformfollower.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "objectapi/follower.h"
+#include "objectapi/platformfollower.h"
 
 #include <random>
 
@@ -22,7 +22,7 @@
                                    std::function<void(std::vector<Member>)> onMembers)
     : m_options(std::move(options)), m_onPolicies(std::move(onPolicies)),
       m_onMembers(std::move(onMembers)),
-      m_platform(std::make_unique<HttpPlatform>(m_options.service, m_options.callLimit,
+      m_platform(std::make_unique<HttpPlatform>(m_options.service, m_options.callTimeout,
                                                 m_options.counters))
 {
     asio::co_spawn(m_io, followSettings(), asio::detached);
@@ -92,11 +92,11 @@
         if (!listed)
             reply = co_await m_platform->list(prefix);
         else
-            reply = co_await m_platform->watch(prefix, m_replica.version(), m_options.watchWait);
+            reply = co_await m_platform->watch(prefix, m_replica.version(), m_options.watchTimeout);
         if (!reply.ok()) {
             listed = listed && reply.status != PlatformStatus::NotFound;
             note(false);
-            co_await pause(m_options.longestPause);
+            co_await pause(m_options.maxRetryDelay);
             continue;
         }
         const bool changed = applyReply(reply, !listed);
@@ -117,7 +117,7 @@
             last = list.members;
             m_onMembers(std::move(list.members));
         }
-        co_await pause(m_options.memberInterval);
+        co_await pause(m_options.memberPollInterval);
     }
 }
 
--- a/src/objectapi/follower.h
+++ b/src/objectapi/platformfollower.h
@@ -29,10 +29,10 @@
     struct Options
     {
         Endpoint service;
-        Duration callLimit = seconds(2);
-        Duration watchWait = seconds(20);
-        Duration memberInterval = seconds(1);
-        Duration longestPause = seconds(2); ///< between tries while the platform is away
+        Duration callTimeout = seconds(2);
+        Duration watchTimeout = seconds(20);
+        Duration memberPollInterval = seconds(1);
+        Duration maxRetryDelay = seconds(2); ///< between tries while the platform is away
         Counters *counters = nullptr;
     };
 
--- a/src/objectapi/wire.cpp
+++ b/src/objectapi/platformjson.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "objectapi/wire.h"
+#include "objectapi/platformjson.h"
 
 #include <boost/json.hpp>
 
--- a/src/operators/adminserver.cpp
+++ b/src/operators/adminserver.cpp
@@ -67,9 +67,9 @@
     const auto it = m_pages.find(name);
     if (it == m_pages.end())
         return plain(404, "no such page\n");
-    if (role < it->second.needs)
+    if (role < it->second.requiredRole)
         return plain(403, "this key does not allow it\n");
-    if (it->second.needs == AdminRole::Write)
+    if (it->second.requiredRole == AdminRole::Write)
         LogLine(LogLevel::Info, "operator-order")
             .with("order", name)
             .with("who", ask.header("Reachlead-Operator"));
--- a/src/operators/adminserver.h
+++ b/src/operators/adminserver.h
@@ -37,7 +37,7 @@
     /// One page; called on the operators' thread.
     struct Page
     {
-        AdminRole needs = AdminRole::Read;
+        AdminRole requiredRole = AdminRole::Read;
         std::function<HttpResponse(const HttpRequest &)> serve;
     };
 
--- a/src/operators/daemon.cpp
+++ b/src/operators/daemon.cpp
@@ -60,11 +60,11 @@
     }
     if (given.contains("help")) {
         std::cout << options;
-        return code(ExitCode::Good);
+        return code(ExitCode::Success);
     }
     if (given.contains("version")) {
         std::cout << program << " " << REACHLEAD_VERSION << "\n";
-        return code(ExitCode::Good);
+        return code(ExitCode::Success);
     }
     if (!given.contains("settings")) {
         std::cerr << program << ": --settings FILE is required\n";
@@ -87,7 +87,7 @@
         return code(ExitCode::BadSettings);
     }
     if (given.contains("check-settings"))
-        return code(ExitCode::Good);
+        return code(ExitCode::Success);
     setLogProgram(program);
     const BackgroundLog background;
     try {
@@ -96,7 +96,7 @@
         LogLine(LogLevel::Error, "failed").with("reason", e.what());
         return code(ExitCode::Failed);
     }
-    return code(ExitCode::Good);
+    return code(ExitCode::Success);
 }
 
 std::optional<std::string> unknownSection(const IniFile &file,
--- a/src/operators/daemon.h
+++ b/src/operators/daemon.h
@@ -15,7 +15,7 @@
 namespace reachlead {
 
 /// How a program ends.
-enum class ExitCode : int { Good = 0, Failed = 1, BadUsage = 2, BadSettings = 3 };
+enum class ExitCode : int { Success = 0, Failed = 1, BadUsage = 2, BadSettings = 3 };
 
 /// Reads `--help`, `--version`, `--check-settings` and `--settings FILE`, then the file. Runs
 /// \p run with the parsed file; \p check alone when asked to check only. Both return the first
--- a/src/operators/readsettings.cpp
+++ b/src/operators/readsettings.cpp
@@ -7,9 +7,9 @@
 
 namespace reachlead {
 
-std::optional<std::string> finishWithEndpoint(const IniFile &file, IniReader &reader,
-                                              std::string_view section, std::string_view key,
-                                              Endpoint *out)
+std::optional<std::string> readEndpoint(const IniFile &file, IniReader &reader,
+                                        std::string_view section, std::string_view key,
+                                        Endpoint *out)
 {
     std::string text;
     reader.takeText(key, &text);
@@ -31,7 +31,7 @@
     reader.require("listen")
         .takeText("read_key", &out->readKey)
         .takeText("write_key", &out->writeKey);
-    return finishWithEndpoint(file, reader, "operators", "listen", &out->listen);
+    return readEndpoint(file, reader, "operators", "listen", &out->listen);
 }
 
 std::optional<std::string> readLog(const IniFile &file, std::size_t *level)
--- a/src/operators/readsettings.h
+++ b/src/operators/readsettings.h
@@ -18,9 +18,9 @@
 namespace reachlead {
 
 /// Takes `ADDRESS:PORT` at \p key, then finishes the reader; the first fault, if any.
-std::optional<std::string> finishWithEndpoint(const IniFile &file, IniReader &reader,
-                                              std::string_view section, std::string_view key,
-                                              Endpoint *out);
+std::optional<std::string> readEndpoint(const IniFile &file, IniReader &reader,
+                                        std::string_view section, std::string_view key,
+                                        Endpoint *out);
 
 /// Reads the section `operators`.
 std::optional<std::string> readOperators(const IniFile &file, AdminServer::Options *out);
--- a/src/peer/agentlink.cpp
+++ b/src/peer/agentlink.cpp
@@ -8,7 +8,7 @@
 #include <reachlead/apikey.h>
 #include <reachlead/log.h>
 
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -121,7 +121,7 @@
                 m_context.heartbeatPort,
                 m_nonce,
                 ""};
-    hello.proof = m_context.keys->keys().sign(helloText(agentNonce, m_member.vm, hello));
+    hello.proof = m_context.keys->keys().sign(helloSigningInput(agentNonce, m_member.vm, hello));
     m_connection->send(ToAgent(hello));
 }
 
@@ -129,7 +129,7 @@
 {
     if (welcome.version != protocolVersion || welcome.vm != m_member.vm)
         return false;
-    if (!m_context.keys->keys().verify(welcomeText(m_nonce, welcome), welcome.proof)) {
+    if (!m_context.keys->keys().verify(welcomeSigningInput(m_nonce, welcome), welcome.proof)) {
         m_context.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Error, "agent-not-of-the-fleet").with("agent", m_member.vm.text);
         return false;
--- a/src/peer/agentlink.h
+++ b/src/peer/agentlink.h
@@ -16,7 +16,7 @@
 #include <reachlead/routercore.h>
 
 #include "peer/frameconnection.h"
-#include "peer/linklife.h"
+#include "peer/linkstatemachine.h"
 
 namespace reachlead {
 
@@ -66,7 +66,7 @@
     boost::asio::io_context &m_io;
     const LinkContext &m_context;
     Member m_member;
-    LinkLife m_life;
+    LinkStateMachine m_life;
     Timer m_timer;
     std::unique_ptr<boost::asio::ip::tcp::socket> m_dialling;
     std::shared_ptr<FrameConnection> m_connection;
--- a/src/peer/archive.h
+++ b/src/peer/archive.h
@@ -57,7 +57,7 @@
     }
 
     /// Bytes not read yet.
-    std::size_t left() const { return m_left.size(); }
+    std::size_t remaining() const { return m_left.size(); }
 
 private:
     std::string_view m_left;
@@ -104,7 +104,7 @@
 {
     std::uint32_t size = 0;
     ar(size);
-    if (size > ar.left())
+    if (size > ar.remaining())
         throw cereal::Exception("size is larger than the frame");
     t.size = size;
 }
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -17,10 +17,10 @@
 template <class Message> void append(std::string *out, const Message &message)
 {
     const std::size_t start = out->size();
-    out->append(frameHead, '\0');
+    out->append(frameHeaderBytes, '\0');
     FrameWriter archive(out);
     archive(message);
-    const auto size = static_cast<std::uint32_t>(out->size() - start - frameHead);
+    const auto size = static_cast<std::uint32_t>(out->size() - start - frameHeaderBytes);
     std::memcpy(out->data() + start, &size, sizeof size);
 }
 
@@ -31,7 +31,7 @@
         Message message;
         FrameReader archive(payload);
         archive(message);
-        if (archive.left() != 0) {
+        if (archive.remaining() != 0) {
             *reason = "bytes behind the message";
             return std::nullopt;
         }
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -15,7 +15,7 @@
 namespace reachlead {
 
 /// Bytes of the length ahead of each frame.
-inline constexpr std::size_t frameHead = 4;
+inline constexpr std::size_t frameHeaderBytes = 4;
 
 /// Appends a whole frame, length included, to \p out.
 void appendFrame(std::string *out, const ToAgent &message);
--- a/src/peer/codec_test.cpp
+++ b/src/peer/codec_test.cpp
@@ -5,7 +5,7 @@
 #include <rapidcheck.h>
 
 #include "peer/codec.h"
-#include "peer/linklife.h"
+#include "peer/linkstatemachine.h"
 
 namespace reachlead {
 
@@ -36,8 +36,8 @@
     {
         std::string frame;
         appendFrame(&frame, message);
-        CPPUNIT_ASSERT(frameLength(frame) == frame.size() - frameHead);
-        return frame.substr(frameHead);
+        CPPUNIT_ASSERT(frameLength(frame) == frame.size() - frameHeaderBytes);
+        return frame.substr(frameHeaderBytes);
     }
 
     void messagesComeBack()
@@ -98,7 +98,7 @@
 
     void linkAllowsOnlyItsMoves()
     {
-        LinkLife life;
+        LinkStateMachine life;
         CPPUNIT_ASSERT(!life.apply(LinkEvent::Welcomed));
         CPPUNIT_ASSERT(life.apply(LinkEvent::Dial));
         CPPUNIT_ASSERT(life.state() == LinkState::Connecting);
--- a/src/peer/crashlink.cpp
+++ b/src/peer/crashlink.cpp
@@ -18,8 +18,8 @@
 
 namespace reachlead {
 
-std::vector<VmName> collectorsFor(const RequestDigest &request, const std::vector<VmName> &all,
-                                  std::size_t n)
+std::vector<VmName> selectCollectors(const RequestDigest &request, const std::vector<VmName> &all,
+                                     std::size_t n)
 {
     std::vector<std::pair<std::uint64_t, VmName>> ranked;
     ranked.reserve(all.size());
@@ -36,46 +36,47 @@
 CrashLink::CrashLink(GatewayState &state, GatewayPeers &peers, Counters *counters, Publish publish)
     : m_state(state), m_peers(peers), m_counters(counters), m_publish(std::move(publish))
 {
-    m_peers.onDatagram({SealedKind::CrashWord, SealedKind::Quarantine},
-                       [this](SealedKind kind, std::string_view message,
+    m_peers.onDatagram({PeerMessageKind::CrashReport, PeerMessageKind::Quarantine},
+                       [this](PeerMessageKind kind, std::string_view message,
                               const UdpEndpoint & /*from*/) { take(kind, message); });
-    m_peers.onMark([this](std::uint64_t mark, const Endpoint &peer) { compareMark(mark, peer); });
+    m_peers.onQuarantineChecksum(
+        [this](std::uint64_t mark, const Endpoint &peer) { compareMark(mark, peer); });
 }
 
-void CrashLink::ended(const RequestDigest &request, const UpstreamId &upstream)
+void CrashLink::upstreamCrashed(const RequestDigest &request, const UpstreamId &upstream)
 {
-    const CrashWord word{request, upstreamHash(upstream)};
+    const CrashReport word{request, upstreamHash(upstream)};
     takeWord(word);
     tellCollectors(word);
 }
 
-void CrashLink::completed(const RequestDigest &request)
+void CrashLink::requestCompleted(const RequestDigest &request)
 {
-    const CrashWord word{request, std::nullopt};
+    const CrashReport word{request, std::nullopt};
     takeWord(word);
     tellCollectors(word);
 }
 
-void CrashLink::tellCollectors(const CrashWord &word)
+void CrashLink::tellCollectors(const CrashReport &word)
 {
     const std::map<VmName, GatewayEntry> fleet = m_peers.fleet();
     std::vector<VmName> names;
     std::ranges::copy(fleet | std::views::keys, std::back_inserter(names));
     const std::string payload = pvt::encodePayload(word);
-    for (const VmName &vm : collectorsFor(word.request, names, collectors)) {
+    for (const VmName &vm : selectCollectors(word.request, names, collectorCount)) {
         if (vm != m_state.vm())
-            m_peers.sendTo(fleet.at(vm).address, SealedKind::CrashWord, payload);
+            m_peers.sendTo(fleet.at(vm).address, PeerMessageKind::CrashReport, payload);
     }
 }
 
-void CrashLink::takeWord(const CrashWord &word)
+void CrashLink::takeWord(const CrashReport &word)
 {
     CrashTracker &book = m_state.crashes();
-    if (!word.ended) {
+    if (!word.crashedUpstream) {
         book.recordCompletion(word.request);
         return;
     }
-    if (book.recordCrash(word.request, *word.ended, RuntimeClock::now()))
+    if (book.recordCrash(word.request, *word.crashedUpstream, RuntimeClock::now()))
         begin(word.request);
 }
 
@@ -93,7 +94,7 @@
     const std::string payload = pvt::encodePayload(std::vector{quarantined});
     for (const auto &[vm, entry] : m_peers.fleet()) {
         if (vm != m_state.vm())
-            m_peers.sendTo(entry.address, SealedKind::Quarantine, payload);
+            m_peers.sendTo(entry.address, PeerMessageKind::Quarantine, payload);
     }
     if (m_publish)
         m_publish(quarantined);
@@ -110,14 +111,14 @@
     const Time now = RuntimeClock::now();
     if (mark == book.checksum(now) || book.isQuarantineEmpty(now))
         return;
-    m_peers.sendTo(peer, SealedKind::Quarantine, pvt::encodePayload(book.quarantined(now)));
+    m_peers.sendTo(peer, PeerMessageKind::Quarantine, pvt::encodePayload(book.quarantined(now)));
 }
 
-void CrashLink::take(SealedKind kind, std::string_view message)
+void CrashLink::take(PeerMessageKind kind, std::string_view message)
 {
     std::string reason;
-    if (kind == SealedKind::CrashWord) {
-        if (const auto word = pvt::decodePayload<CrashWord>(message, &reason))
+    if (kind == PeerMessageKind::CrashReport) {
+        if (const auto word = pvt::decodePayload<CrashReport>(message, &reason))
             takeWord(*word);
     } else {
         using Told = std::vector<QuarantinedRequest>;
--- a/src/peer/crashlink.h
+++ b/src/peer/crashlink.h
@@ -22,12 +22,12 @@
 namespace reachlead {
 
 /// What a gateway tells of one request to those that count for it.
-struct CrashWord
+struct CrashReport
 {
     RequestDigest request;
-    std::optional<UpstreamHash> ended; ///< this upstream, under it; none: it completed
+    std::optional<UpstreamHash> crashedUpstream; ///< this upstream, under it; none: it completed
 
-    template <class Archive> void serialize(Archive &ar) { ar(request, ended); }
+    template <class Archive> void serialize(Archive &ar) { ar(request, crashedUpstream); }
 };
 
 /// Such a request comes to any gateway, so each one may see a single end under it. What is seen
@@ -45,24 +45,24 @@
     CrashLink(GatewayState &state, GatewayPeers &peers, Counters *counters, Publish publish);
 
     /// An upstream's process ended under a request of this gateway.
-    void ended(const RequestDigest &request, const UpstreamId &upstream);
+    void upstreamCrashed(const RequestDigest &request, const UpstreamId &upstream);
 
     /// A request of this gateway under which an upstream ended completed at another one.
-    void completed(const RequestDigest &request);
+    void requestCompleted(const RequestDigest &request);
 
     /// Gateways that count for a request: a datagram may be lost and a gateway may end, so each
     /// word goes to more than one.
-    static constexpr std::size_t collectors = 3;
+    static constexpr std::size_t collectorCount = 3;
 
 private:
     using UdpEndpoint = boost::asio::ip::udp::endpoint;
 
-    void tellCollectors(const CrashWord &word);
-    void takeWord(const CrashWord &word);
+    void tellCollectors(const CrashReport &word);
+    void takeWord(const CrashReport &word);
     void begin(const RequestDigest &request);
     void takeQuarantine(const std::vector<QuarantinedRequest> &told);
     void compareMark(std::uint64_t mark, const Endpoint &peer);
-    void take(SealedKind kind, std::string_view message);
+    void take(PeerMessageKind kind, std::string_view message);
 
     GatewayState &m_state;
     GatewayPeers &m_peers;
@@ -71,7 +71,7 @@
 };
 
 /// The first \p n of \p all for a request, in an order that all gateways share.
-std::vector<VmName> collectorsFor(const RequestDigest &request, const std::vector<VmName> &all,
-                                  std::size_t n);
+std::vector<VmName> selectCollectors(const RequestDigest &request, const std::vector<VmName> &all,
+                                     std::size_t n);
 
 } // namespace reachlead
--- a/src/peer/crashlink_test.cpp
+++ b/src/peer/crashlink_test.cpp
@@ -114,7 +114,8 @@
     {
         Fleet fleet(4);
         for (std::size_t n = 0; n < 3; ++n) {
-            fleet.nodes[n]->link.ended(request("bad"), UpstreamId("u" + std::to_string(n)));
+            fleet.nodes[n]->link.upstreamCrashed(request("bad"),
+                                                 UpstreamId("u" + std::to_string(n)));
             fleet.advance(milliseconds(30));
         }
         std::size_t published = 0;
@@ -130,7 +131,7 @@
     {
         Fleet fleet(2);
         for (const char *upstream : {"u0", "u1", "u2"})
-            fleet.nodes[1]->link.ended(request("bad"), UpstreamId(upstream));
+            fleet.nodes[1]->link.upstreamCrashed(request("bad"), UpstreamId(upstream));
         Node &late = fleet.add("late", fleetKey);
         CPPUNIT_ASSERT(!late.refuses(request("bad")));
         fleet.advance(seconds(2));
@@ -142,7 +143,7 @@
     {
         Fleet fleet(1);
         for (const char *upstream : {"u0", "u1", "u2"})
-            fleet.nodes[0]->link.ended(request("bad"), UpstreamId(upstream));
+            fleet.nodes[0]->link.upstreamCrashed(request("bad"), UpstreamId(upstream));
         CPPUNIT_ASSERT(fleet.nodes[0]->refuses(request("bad")));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.nodes[0]->published.size());
     }
@@ -151,12 +152,12 @@
     {
         Fleet fleet(4);
         const auto lose = [&](std::size_t node, const char *upstream) {
-            fleet.nodes[node]->link.ended(request("beside"), UpstreamId(upstream));
+            fleet.nodes[node]->link.upstreamCrashed(request("beside"), UpstreamId(upstream));
             fleet.advance(milliseconds(30));
         };
         lose(0, "u0");
         lose(0, "u1");
-        fleet.nodes[0]->link.completed(request("beside"));
+        fleet.nodes[0]->link.requestCompleted(request("beside"));
         fleet.advance(milliseconds(30));
         lose(0, "u2");
         lose(0, "u3");
@@ -169,7 +170,7 @@
         Fleet fleet(1);
         Node &stranger = fleet.add("stranger", "a key of somebody else");
         for (const char *upstream : {"u0", "u1", "u2"})
-            stranger.link.ended(request("good"), UpstreamId(upstream));
+            stranger.link.upstreamCrashed(request("good"), UpstreamId(upstream));
         fleet.advance(seconds(2));
         CPPUNIT_ASSERT(stranger.refuses(request("good")));
         CPPUNIT_ASSERT(!fleet.nodes[0]->refuses(request("good")));
@@ -182,13 +183,15 @@
         names.reserve(gateways);
         for (int n = 0; n < gateways; ++n)
             names.emplace_back("g" + std::to_string(n));
-        const auto chosen = collectorsFor(request("bad"), names, CrashLink::collectors);
-        CPPUNIT_ASSERT_EQUAL(CrashLink::collectors, chosen.size());
+        const auto chosen = selectCollectors(request("bad"), names, CrashLink::collectorCount);
+        CPPUNIT_ASSERT_EQUAL(CrashLink::collectorCount, chosen.size());
         std::ranges::reverse(names);
-        CPPUNIT_ASSERT(collectorsFor(request("bad"), names, CrashLink::collectors) == chosen);
-        CPPUNIT_ASSERT(collectorsFor(request("other"), names, CrashLink::collectors) != chosen);
+        CPPUNIT_ASSERT(selectCollectors(request("bad"), names, CrashLink::collectorCount)
+                       == chosen);
+        CPPUNIT_ASSERT(selectCollectors(request("other"), names, CrashLink::collectorCount)
+                       != chosen);
         names.resize(2);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, collectorsFor(request("bad"), names, 3).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, selectCollectors(request("bad"), names, 3).size());
     }
 };
 
--- a/src/peer/dispatcher.cpp
+++ b/src/peer/dispatcher.cpp
@@ -11,7 +11,7 @@
 #include <reachlead/log.h>
 #include <reachlead/subset.h>
 
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -22,7 +22,7 @@
                        std::function<void(std::vector<TargetName>)> onTargets)
     : m_options(std::move(options)), m_announce(std::move(announce)),
       m_onTargets(std::move(onTargets)), m_work(m_io.get_executor()),
-      m_looks(m_options.mostOpen * 2, [this] { asio::post(m_io, [this] { takeLooks(); }); }),
+      m_looks(m_options.maxOpenRequests * 2, [this] { asio::post(m_io, [this] { takeLooks(); }); }),
       m_tick(m_io), m_heartbeats(m_io, udp::endpoint(asio::ip::make_address(m_options.address), 0))
 {
     m_core = RouterCore::Builder()
@@ -90,7 +90,7 @@
     return false;
 }
 
-void Dispatcher::look(const AnswerChannelPtr &slot)
+void Dispatcher::callerStateChanged(const AnswerChannelPtr &slot)
 {
     if (!m_looks.push(slot))
         m_options.counters->add(Counter::RingFull);
@@ -110,7 +110,7 @@
     asio::post(m_io, [this, policies = std::move(policies)] { m_core->setPolicies(policies); });
 }
 
-void Dispatcher::stopTaking()
+void Dispatcher::stopAccepting()
 {
     asio::post(m_io, [this] { m_core->stop(); });
 }
@@ -248,7 +248,7 @@
             const auto beat =
                 decodeHeartbeat(std::string_view(m_heartbeatBytes.data(), ec ? 0 : n), &reason);
             const bool good = beat && beat->version == protocolVersion
-                && m_options.keys->keys().verify(heartbeatText(*beat), beat->proof);
+                && m_options.keys->keys().verify(heartbeatSigningInput(*beat), beat->proof);
             if (good) {
                 m_core->heartbeat(*beat, RuntimeClock::now());
                 act();
--- a/src/peer/dispatcher.h
+++ b/src/peer/dispatcher.h
@@ -35,7 +35,7 @@
         ZoneName zone;
         std::string address = "127.0.0.1"; ///< IP number heartbeats come to
         RouterTuning tuning;
-        std::size_t mostOpen = 8192; ///< open requests over all callers
+        std::size_t maxOpenRequests = 8192; ///< open requests over all callers
         Incarnation incarnation;
         FleetKeyFile *keys = nullptr; ///< must outlive the dispatcher
         Counters *counters = nullptr;
@@ -50,15 +50,15 @@
     /// Hands a request over. False when the ring of its tier is full: nothing was taken.
     bool submit(Tier tier, CallerRequest request, AnswerChannelPtr slot);
     /// Has the dispatching thread look at what the caller said in the slot.
-    void look(const AnswerChannelPtr &slot);
+    void callerStateChanged(const AnswerChannelPtr &slot);
     /// Takes a new membership list.
     void setMembers(std::vector<Member> members);
     void setPolicies(PoliciesPtr policies);
     /// Refuses requests from now on; those accepted go on.
-    void stopTaking();
+    void stopAccepting();
 
     /// Runs \p ask on the dispatching thread with the core and gives its answer.
-    template <class Answer> std::future<Answer> ask(std::function<Answer(RouterCore &)> question)
+    template <class Answer> std::future<Answer> query(std::function<Answer(RouterCore &)> question)
     {
         auto promise = std::make_shared<std::promise<Answer>>();
         boost::asio::post(m_io, [this, promise, question = std::move(question)] {
--- a/src/peer/frameconnection.cpp
+++ b/src/peer/frameconnection.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void tuneSocket(asio::ip::tcp::socket &socket)
+void setTcpOptions(asio::ip::tcp::socket &socket)
 {
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     using KeepIdle = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
@@ -34,7 +34,7 @@
 
 FrameConnection::FrameConnection(Socket socket) : m_socket(std::move(socket))
 {
-    tuneSocket(m_socket);
+    setTcpOptions(m_socket);
     boost::system::error_code ec;
     const auto remote = m_socket.remote_endpoint(ec);
     if (!ec)
@@ -70,22 +70,22 @@
 bool FrameConnection::takeFrames()
 {
     std::string_view left = m_input;
-    while (left.size() >= frameHead) {
+    while (left.size() >= frameHeaderBytes) {
         const std::optional<std::size_t> length = frameLength(left);
         if (!length) {
             close("frame too large");
             return false;
         }
-        if (left.size() < frameHead + *length)
+        if (left.size() < frameHeaderBytes + *length)
             break;
-        const bool good = m_onFrame(left.substr(frameHead, *length));
+        const bool good = m_onFrame(left.substr(frameHeaderBytes, *length));
         if (m_closed)
             return false;
         if (!good) {
             close("frame not understood");
             return false;
         }
-        left.remove_prefix(frameHead + *length);
+        left.remove_prefix(frameHeaderBytes + *length);
     }
     m_input.erase(0, m_input.size() - left.size());
     return true;
--- a/src/peer/frameconnection.h
+++ b/src/peer/frameconnection.h
@@ -71,6 +71,6 @@
 };
 
 /// Makes a silent loss of the other VM show within seconds.
-void tuneSocket(boost::asio::ip::tcp::socket &socket);
+void setTcpOptions(boost::asio::ip::tcp::socket &socket);
 
 } // namespace reachlead
--- a/src/peer/gatewaymessages.cpp
+++ b/src/peer/gatewaymessages.cpp
@@ -13,112 +13,116 @@
 
 namespace reachlead {
 
-std::vector<TaggedLoad> tagLoad(const LoadByUpstream &load)
+std::vector<CompactLoad> compactLoad(const LoadByUpstream &load)
 {
     const auto bounded = [](std::uint64_t n) {
         constexpr std::uint64_t most = std::numeric_limits<std::uint16_t>::max();
         return static_cast<std::uint16_t>(std::min(n, most));
     };
-    std::vector<TaggedLoad> tagged;
+    std::vector<CompactLoad> tagged;
     for (const auto &[id, at] : load) {
         const std::uint64_t units =
-            (at.prefillTokens + TaggedLoad::tokensPerUnit - 1) / TaggedLoad::tokensPerUnit;
+            (at.prefillTokens + CompactLoad::tokensPerUnit - 1) / CompactLoad::tokensPerUnit;
         tagged.push_back(
             {upstreamHash(id), bounded(at.running), bounded(units), bounded(at.shortPrompts)});
     }
-    const auto weight = [](const TaggedLoad &at) { return std::pair(at.unread, at.running); };
+    const auto weight = [](const CompactLoad &at) {
+        return std::pair(at.prefillUnits, at.running);
+    };
     std::ranges::sort(tagged, std::ranges::greater(), weight);
-    if (tagged.size() > mostLoads)
-        tagged.resize(mostLoads);
+    if (tagged.size() > maxReportedLoads)
+        tagged.resize(maxReportedLoads);
     return tagged;
 }
 
-std::uint32_t vmTagOf(const VmName &vm)
+std::uint32_t vmHash(const VmName &vm)
 {
     return XXH32(vm.text.data(), vm.text.size(), 0);
 }
 
-std::vector<TaggedNote> tagNotes(const std::vector<PromptHint> &notes)
+std::vector<CompactHint> compactHints(const std::vector<PromptHint> &notes)
 {
-    std::vector<TaggedNote> tagged;
+    std::vector<CompactHint> tagged;
     std::ranges::transform(notes, std::back_inserter(tagged), [](const PromptHint &note) {
-        return TaggedNote{upstreamHash(note.upstream), note.key};
+        return CompactHint{upstreamHash(note.upstream), note.key};
     });
     return tagged;
 }
 
-LoadByUpstream untagLoad(const std::vector<TaggedLoad> &load, const UpstreamDirectory &directory)
+LoadByUpstream expandLoad(const std::vector<CompactLoad> &load, const UpstreamDirectory &directory)
 {
     LoadByUpstream known;
-    for (const TaggedLoad &at : load) {
+    for (const CompactLoad &at : load) {
         if (const UpstreamEntry *entry = directory.findByHash(at.upstream))
-            known[entry->id] = {at.running, at.unread * TaggedLoad::tokensPerUnit, at.brief};
+            known[entry->id] = {at.running, at.prefillUnits * CompactLoad::tokensPerUnit,
+                                at.shortPrompts};
     }
     return known;
 }
 
-std::vector<PromptHint> untagNotes(const std::vector<TaggedNote> &notes,
-                                   const UpstreamDirectory &directory)
+std::vector<PromptHint> expandHints(const std::vector<CompactHint> &notes,
+                                    const UpstreamDirectory &directory)
 {
     std::vector<PromptHint> known;
-    for (const TaggedNote &note : notes) {
+    for (const CompactHint &note : notes) {
         if (const UpstreamEntry *entry = directory.findByHash(note.upstream))
             known.push_back({entry->id, note.key});
     }
     return known;
 }
 
-std::vector<TaggedLimit> tagLimits(const std::vector<LimitUpdate> &notes)
+std::vector<CompactLimit> compactLimits(const std::vector<LimitUpdate> &notes)
 {
-    std::vector<TaggedLimit> tagged;
+    std::vector<CompactLimit> tagged;
     std::ranges::transform(notes, std::back_inserter(tagged), [](const LimitUpdate &note) {
-        return TaggedLimit{upstreamHash(note.upstream), note.limit.value_or(TaggedLimit::noLimit),
-                           note.timestamp};
+        return CompactLimit{upstreamHash(note.upstream), note.limit.value_or(CompactLimit::noLimit),
+                            note.timestamp};
     });
     return tagged;
 }
 
-std::vector<LimitUpdate> untagLimits(const std::vector<TaggedLimit> &limits,
-                                     const UpstreamDirectory &directory)
+std::vector<LimitUpdate> expandLimits(const std::vector<CompactLimit> &limits,
+                                      const UpstreamDirectory &directory)
 {
     std::vector<LimitUpdate> notes;
-    for (const TaggedLimit &it : limits) {
+    for (const CompactLimit &it : limits) {
         const UpstreamEntry *entry = directory.findByHash(it.upstream);
         if (entry == nullptr)
             continue;
-        const bool isOver = it.limit == TaggedLimit::noLimit;
-        notes.push_back({entry->id, isOver ? std::nullopt : std::optional(it.limit), it.stamp});
+        const bool isOver = it.limit == CompactLimit::noLimit;
+        notes.push_back({entry->id, isOver ? std::nullopt : std::optional(it.limit), it.timestamp});
     }
     return notes;
 }
 
-std::string encodeBeat(const GatewayBeat &beat)
+std::string encodeGatewayHeartbeat(const GatewayHeartbeat &beat)
 {
     return pvt::encodePayload(beat);
 }
 
-std::optional<GatewayBeat> decodeBeat(std::string_view payload, std::string *reason)
+std::optional<GatewayHeartbeat> decodeGatewayHeartbeat(std::string_view payload,
+                                                       std::string *reason)
 {
-    return pvt::decodePayload<GatewayBeat>(payload, reason);
+    return pvt::decodePayload<GatewayHeartbeat>(payload, reason);
 }
 
-std::string encodeAsk(const NewsAsk &ask)
+std::string encodeStateQuery(const StateQuery &ask)
 {
     return pvt::encodePayload(ask);
 }
 
-std::optional<NewsAsk> decodeAsk(std::string_view payload, std::string *reason)
+std::optional<StateQuery> decodeStateQuery(std::string_view payload, std::string *reason)
 {
-    return pvt::decodePayload<NewsAsk>(payload, reason);
+    return pvt::decodePayload<StateQuery>(payload, reason);
 }
 
-std::string encodeNews(const StateUpdate &news)
+std::string encodeStateUpdate(const StateUpdate &news)
 {
     return pvt::encodePayload(news.config, news.configChange, news.registry, news.evacuations,
                               news.roster);
 }
 
-std::optional<StateUpdate> decodeNews(std::string_view payload, std::string *reason)
+std::optional<StateUpdate> decodeStateUpdate(std::string_view payload, std::string *reason)
 {
     StateUpdate news;
     if (!pvt::decodeParts(payload, reason, news.config, news.configChange, news.registry,
--- a/src/peer/gatewaymessages_test.cpp
+++ b/src/peer/gatewaymessages_test.cpp
@@ -46,7 +46,7 @@
     void newsArriveAsTheyWere()
     {
         std::string reason;
-        const auto read = decodeNews(encodeNews(news()), &reason);
+        const auto read = decodeStateUpdate(encodeStateUpdate(news()), &reason);
         CPPUNIT_ASSERT_MESSAGE(reason, read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, read->config->version);
         CPPUNIT_ASSERT(read->config->routes[0].kind == RouteKind::Stream);
@@ -58,33 +58,34 @@
         CPPUNIT_ASSERT(read->registry.snapshot->at(0).leaving);
         CPPUNIT_ASSERT_EQUAL(std::string("u"), read->registry.held.at(0).entry.id.text);
         CPPUNIT_ASSERT_EQUAL(std::int32_t{1200}, read->registry.held.at(0).leftMs);
-        const auto none = decodeNews(encodeNews({}), &reason);
+        const auto none = decodeStateUpdate(encodeStateUpdate({}), &reason);
         CPPUNIT_ASSERT(none && !none->config && !none->registry.snapshot);
     }
 
     void beatsArriveAsTheyWere()
     {
-        GatewayBeat beat;
+        GatewayHeartbeat beat;
         beat.from = {VmName("vm"), {"10.0.0.2", 7340}};
         beat.configVersion = 3;
         beat.ageMs = 120;
-        beat.load = tagLoad({{UpstreamId("u"), {3, 4000, 2}}, {UpstreamId("unknown"), {9, 9, 9}}});
-        beat.prompts = tagNotes({{UpstreamId("u"), 12345}, {UpstreamId("unknown"), 1}});
+        beat.load =
+            compactLoad({{UpstreamId("u"), {3, 4000, 2}}, {UpstreamId("unknown"), {9, 9, 9}}});
+        beat.hints = compactHints({{UpstreamId("u"), 12345}, {UpstreamId("unknown"), 1}});
         beat.sample = {{VmName("other"), {"10.0.0.3", 7340}}};
         std::string reason;
-        const auto read = decodeBeat(encodeBeat(beat), &reason);
+        const auto read = decodeGatewayHeartbeat(encodeGatewayHeartbeat(beat), &reason);
         CPPUNIT_ASSERT_MESSAGE(reason, read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("vm"), read->from.vm.text);
         UpstreamDirectory directory;
         UpstreamEntry known;
         known.id = UpstreamId("u");
         directory.replaceAll({known}, 1, Time{});
-        const LoadByUpstream load = untagLoad(read->load, directory);
+        const LoadByUpstream load = expandLoad(read->load, directory);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, load.size());
         CPPUNIT_ASSERT_EQUAL(3U, load.at(known.id).running);
         CPPUNIT_ASSERT_EQUAL(2U, load.at(known.id).shortPrompts);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4032}, load.at(known.id).prefillTokens); // whole units
-        const std::vector<PromptHint> notes = untagNotes(read->prompts, directory);
+        const std::vector<PromptHint> notes = expandHints(read->hints, directory);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, notes.size());
         CPPUNIT_ASSERT_EQUAL(PromptKey{12345}, notes.at(0).key);
         CPPUNIT_ASSERT_EQUAL(std::string("other"), read->sample.at(0).vm.text);
@@ -94,16 +95,16 @@
     {
         UpstreamEntry known;
         known.id = UpstreamId("u", 3);
-        GatewayBeat beat;
-        beat.limits = tagLimits({{known.id, CallRate{2200}, 41},
-                                 {known.id, std::nullopt, 42},
-                                 {UpstreamId("u", 4), CallRate{1}, 43}});
+        GatewayHeartbeat beat;
+        beat.limits = compactLimits({{known.id, CallRate{2200}, 41},
+                                     {known.id, std::nullopt, 42},
+                                     {UpstreamId("u", 4), CallRate{1}, 43}});
         std::string reason;
-        const auto read = decodeBeat(encodeBeat(beat), &reason);
+        const auto read = decodeGatewayHeartbeat(encodeGatewayHeartbeat(beat), &reason);
         CPPUNIT_ASSERT_MESSAGE(reason, read.has_value());
         UpstreamDirectory directory;
         directory.replaceAll({known}, 1, Time{});
-        const std::vector<LimitUpdate> notes = untagLimits(read->limits, directory);
+        const std::vector<LimitUpdate> notes = expandLimits(read->limits, directory);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, notes.size()); // the other life is not known
         CPPUNIT_ASSERT(notes.at(0).limit == CallRate{2200} && !notes.at(1).limit);
         CPPUNIT_ASSERT_EQUAL(UnixMillis{41}, notes.at(0).timestamp);
@@ -114,14 +115,14 @@
         LoadByUpstream load;
         for (unsigned n = 0; n < 12'000; ++n)
             load[UpstreamId(std::to_string(n))] = {n, std::uint64_t{n} * 10'000, n};
-        GatewayBeat beat;
-        beat.load = tagLoad(load);
-        beat.limits.resize(mostLimits);
-        beat.leaving.resize(mostLeaving, UpstreamId("i-0123456789"));
-        beat.prompts.resize(UpstreamTable::maxHints - 2 * mostLimits - 3 * mostLeaving);
-        CPPUNIT_ASSERT_EQUAL(mostLoads, beat.load.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint16_t{65'535}, beat.load.front().unread);
-        CPPUNIT_ASSERT(encodeBeat(beat).size() < 1200);
+        GatewayHeartbeat beat;
+        beat.load = compactLoad(load);
+        beat.limits.resize(maxReportedLimits);
+        beat.leaving.resize(maxReportedLeaving, UpstreamId("i-0123456789"));
+        beat.hints.resize(UpstreamTable::maxHints - 2 * maxReportedLimits - 3 * maxReportedLeaving);
+        CPPUNIT_ASSERT_EQUAL(maxReportedLoads, beat.load.size());
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t{65'535}, beat.load.front().prefillUnits);
+        CPPUNIT_ASSERT(encodeGatewayHeartbeat(beat).size() < 1200);
     }
 
     void foreignBytesAreRefused()
@@ -129,23 +130,23 @@
         CPPUNIT_ASSERT(rc::check("any bytes", [](const std::string &bytes) {
             std::string reason;
             // Whatever comes out, nothing is thrown and no size is trusted.
-            decodeBeat(bytes, &reason);
-            decodeNews(bytes, &reason);
-            const auto ask = decodeAsk(bytes, &reason);
+            decodeGatewayHeartbeat(bytes, &reason);
+            decodeStateUpdate(bytes, &reason);
+            const auto ask = decodeStateQuery(bytes, &reason);
             RC_ASSERT(!ask || bytes.size() == 48);
         }));
     }
 
     void cutMessagesAreRefused()
     {
-        const std::string whole = encodeNews(news());
+        const std::string whole = encodeStateUpdate(news());
         for (std::size_t n = 0; n < whole.size(); ++n) {
             std::string reason;
-            CPPUNIT_ASSERT(!decodeNews(whole.substr(0, n), &reason));
+            CPPUNIT_ASSERT(!decodeStateUpdate(whole.substr(0, n), &reason));
             CPPUNIT_ASSERT(!reason.empty());
         }
         std::string reason;
-        CPPUNIT_ASSERT(!decodeNews(whole + "x", &reason));
+        CPPUNIT_ASSERT(!decodeStateUpdate(whole + "x", &reason));
     }
 };
 
--- a/src/peer/gatewaypeers.cpp
+++ b/src/peer/gatewaypeers.cpp
@@ -15,7 +15,7 @@
 
 #include <reachlead/log.h>
 
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -68,23 +68,23 @@
     m_acceptor.close(ec);
 }
 
-std::set<VmName> GatewayPeers::heard() const
+std::set<VmName> GatewayPeers::livePeers() const
 {
     const Time now = RuntimeClock::now();
     std::set<VmName> live;
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.heard + peerLimit > now)
+        if (peer.heard + peerTimeout > now)
             live.insert(vm);
     }
     return live;
 }
 
-std::map<VmName, GatewayEntry> GatewayPeers::live() const
+std::map<VmName, GatewayEntry> GatewayPeers::liveGateways() const
 {
     const Time now = RuntimeClock::now();
     std::map<VmName, GatewayEntry> live{{m_options.self.vm, m_options.self}};
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.heard + peerLimit > now)
+        if (peer.heard + peerTimeout > now)
             live.emplace(vm, peer.entry);
     }
     return live;
@@ -97,60 +97,61 @@
         sendBeats();
         const Time sent = RuntimeClock::now();
         const auto isNextDue = [&] {
-            return m_options.beats.isDue(RuntimeClock::now() - sent,
-                                         m_state.upstreams().unreportedTokens(), m_lastBytes,
-                                         m_peers.size());
+            return m_options.heartbeats.isDue(RuntimeClock::now() - sent,
+                                              m_state.upstreams().unreportedTokens(), m_lastBytes,
+                                              m_peers.size());
         };
         while (!m_stopped && !isNextDue()) {
             error_code ec;
-            timer.expires_after(std::min(BeatBudget::lookInterval, m_options.beats.interval));
+            timer.expires_after(
+                std::min(HeartbeatBudget::checkInterval, m_options.heartbeats.interval));
             co_await timer.async_wait(keepError(&ec));
         }
     }
 }
 
-GatewayBeat GatewayPeers::makeBeat()
+GatewayHeartbeat GatewayPeers::makeBeat()
 {
-    GatewayBeat beat;
+    GatewayHeartbeat beat;
     beat.from = m_options.self;
     beat.incarnation = m_incarnation;
     beat.sequence = nextSequence();
     beat.configVersion = m_state.configVersion();
     beat.registryRevision = m_state.directory().revision();
     beat.evacuationRevision = m_state.evacuations().revision();
-    beat.evacuationMark = m_state.evacuations().checksum();
+    beat.evacuationChecksum = m_state.evacuations().checksum();
     beat.rosterRevision = m_state.roster().revision;
     beat.clock = vmTimeOfDay();
     m_time.recordClock(m_options.self.vm, beat.clock, RuntimeClock::now());
     m_time.dropOld(RuntimeClock::now());
     if (const auto at = m_state.currentAt())
         beat.ageMs = static_cast<std::int32_t>(toMillis(RuntimeClock::now() - *at));
-    beat.load = tagLoad(m_state.upstreams().ownLoad());
-    beat.quarantineMark = m_state.crashes().checksum(RuntimeClock::now());
+    beat.load = compactLoad(m_state.upstreams().ownLoad());
+    beat.quarantineChecksum = m_state.crashes().checksum(RuntimeClock::now());
     beat.oldestPendingQuery = m_openAsks ? m_openAsks() : 0;
     m_state.upstreams().markReported();
     const Time now = RuntimeClock::now();
-    const Duration span = m_options.beats.hintWindow(m_lastTargets, others().size());
-    beat.prompts = tagNotes(m_state.upstreams().recentHints(now, span));
-    beat.limits = limitsToTell(now);
-    beat.leaving = leavingToTell(now);
+    const Duration span = m_options.heartbeats.hintWindow(m_lastTargets, others().size());
+    beat.hints = compactHints(m_state.upstreams().recentHints(now, span));
+    beat.limits = limitsToReport(now);
+    beat.leaving = leavingToReport(now);
     // A limit takes no more bytes than two prompts, and an id than three; these give way to them.
     const std::size_t taken = 2 * beat.limits.size() + 3 * beat.leaving.size();
-    beat.prompts.resize(std::min(beat.prompts.size(), UpstreamTable::maxHints - taken));
-    if (beat.load.size() <= mostLoads / 2) // a beat of the largest load has no room
-        beat.lives = livesToTell(now);
-    if (++m_beats % sampleEvery != 1)
+    beat.hints.resize(std::min(beat.hints.size(), UpstreamTable::maxHints - taken));
+    if (beat.load.size() <= maxReportedLoads / 2) // a beat of the largest load has no room
+        beat.liveGateways = livesToTell(now);
+    if (++m_beats % heartbeatsPerSample != 1)
         return beat;
     std::vector<GatewayEntry> lately;
     for (const Peer &peer : m_peers | std::views::values) {
-        if (peer.heard + peerLimit / 2 > now)
+        if (peer.heard + peerTimeout / 2 > now)
             lately.push_back(peer.entry);
     }
     std::ranges::sample(lately, std::back_inserter(beat.sample), sampleSize, m_random);
     return beat;
 }
 
-std::vector<TaggedLimit> GatewayPeers::limitsToTell(Time now, const std::set<UpstreamId> *of)
+std::vector<CompactLimit> GatewayPeers::limitsToReport(Time now, const std::set<UpstreamId> *of)
 {
     const std::vector<LimitUpdate> recent = m_state.upstreams().limits().recent(now);
     std::vector<LimitUpdate> wanted;
@@ -158,11 +159,11 @@
         return of == nullptr || of->contains(note.upstream);
     });
     std::vector<LimitUpdate> some;
-    std::ranges::sample(wanted, std::back_inserter(some), mostLimits, m_random);
-    return tagLimits(some);
+    std::ranges::sample(wanted, std::back_inserter(some), maxReportedLimits, m_random);
+    return compactLimits(some);
 }
 
-std::vector<UpstreamId> GatewayPeers::leavingToTell(Time now, const ServiceName *of)
+std::vector<UpstreamId> GatewayPeers::leavingToReport(Time now, const ServiceName *of)
 {
     const UpstreamDirectory &directory = m_state.directory();
     std::vector<UpstreamId> wanted;
@@ -172,23 +173,23 @@
                              return entry != nullptr && (of == nullptr || entry->service == *of);
                          });
     std::vector<UpstreamId> some;
-    std::ranges::sample(wanted, std::back_inserter(some), mostLeaving, m_random);
+    std::ranges::sample(wanted, std::back_inserter(some), maxReportedLeaving, m_random);
     return some;
 }
 
 /// Some gateways that live, where beats alone would not tell each of the others in time.
-std::vector<TaggedLife> GatewayPeers::livesToTell(Time now)
+std::vector<CompactLiveGateway> GatewayPeers::livesToTell(Time now)
 {
-    std::vector<TaggedLife> lives;
-    if (m_peers.size() <= longRound * m_lastTargets)
+    std::vector<CompactLiveGateway> lives;
+    if (m_peers.size() <= maxHeartbeatsPerRound * m_lastTargets)
         return lives;
-    std::vector<TaggedLife> all;
+    std::vector<CompactLiveGateway> all;
     for (const auto &[vm, peer] : m_peers) {
         const double tenths = std::ceil(toSeconds(now - peer.heard) * 10.0);
-        if (peer.heard + peerLimit > now + m_options.beats.interval)
-            all.push_back({vmTagOf(vm), static_cast<std::uint8_t>(std::max(0.0, tenths))});
+        if (peer.heard + peerTimeout > now + m_options.heartbeats.interval)
+            all.push_back({vmHash(vm), static_cast<std::uint8_t>(std::max(0.0, tenths))});
     }
-    std::ranges::sample(all, std::back_inserter(lives), mostLives, m_random);
+    std::ranges::sample(all, std::back_inserter(lives), maxReportedGateways, m_random);
     return lives;
 }
 
@@ -201,17 +202,17 @@
     m_taggedAt = m_state.roster().revision;
     m_byTag.clear();
     for (const GatewayEntry &entry : m_state.roster().gateways)
-        m_byTag.emplace(vmTagOf(entry.vm), entry);
+        m_byTag.emplace(vmHash(entry.vm), entry);
     for (const auto &[vm, peer] : m_peers)
-        m_byTag.insert_or_assign(vmTagOf(vm), peer.entry);
+        m_byTag.insert_or_assign(vmHash(vm), peer.entry);
 }
 
 /// Notes when others were heard last, by what a peer knows of it. Ages are rounded up, so that a
 /// word that goes round makes nobody younger.
-void GatewayPeers::takeLives(const std::vector<TaggedLife> &lives, Time now)
+void GatewayPeers::takeLives(const std::vector<CompactLiveGateway> &lives, Time now)
 {
     tagRegistered();
-    for (const TaggedLife &life : lives) {
+    for (const CompactLiveGateway &life : lives) {
         const auto known = m_byTag.find(life.vm);
         if (known == m_byTag.end() || known->second.vm == m_options.self.vm)
             continue;
@@ -228,8 +229,8 @@
     for (const GatewayEntry &entry : sample) {
         if (entry.vm == m_options.self.vm || m_peers.size() >= mostPeers)
             continue;
-        m_peers.try_emplace(entry.vm, Peer{entry, now - peerLimit / 2, {}, {}, 0});
-        m_byTag.emplace(vmTagOf(entry.vm), entry);
+        m_peers.try_emplace(entry.vm, Peer{entry, now - peerTimeout / 2, {}, {}, 0});
+        m_byTag.emplace(vmHash(entry.vm), entry);
     }
 }
 
@@ -261,7 +262,7 @@
 std::vector<udp::endpoint> GatewayPeers::nextTargets(std::size_t bytes)
 {
     const std::vector<Endpoint> &all = others();
-    m_lastTargets = m_options.beats.targets(bytes, all.size());
+    m_lastTargets = m_options.heartbeats.targetCount(bytes, all.size());
     std::vector<udp::endpoint> targets;
     for (std::size_t n = 0; n < m_lastTargets; ++n) {
         const Endpoint &next = all[m_turn++ % all.size()];
@@ -275,8 +276,9 @@
 
 void GatewayPeers::sendBeats()
 {
-    const std::string bytes = static_cast<char>(SealedKind::Beat)
-        + seal(m_options.keys, SealedKind::Beat, {}, encodeBeat(makeBeat()));
+    const std::string bytes = static_cast<char>(PeerMessageKind::Heartbeat)
+        + signMessage(m_options.keys, PeerMessageKind::Heartbeat, {},
+                      encodeGatewayHeartbeat(makeBeat()));
     const std::vector<udp::endpoint> targets = nextTargets(bytes.size());
     m_lastBytes = bytes.size();
     for (const udp::endpoint &target : targets) {
@@ -311,33 +313,35 @@
 /// The first byte names the kind, which the proof covers.
 void GatewayPeers::takeDatagram(std::string_view bytes, const udp::endpoint &from)
 {
-    const auto kind = bytes.empty() ? SealedKind::Beat : static_cast<SealedKind>(bytes.front());
-    const auto message =
-        unseal(m_options.keys, kind, {}, bytes.substr(std::min<std::size_t>(1, bytes.size())));
+    const auto kind =
+        bytes.empty() ? PeerMessageKind::Heartbeat : static_cast<PeerMessageKind>(bytes.front());
+    const auto message = verifyMessage(m_options.keys, kind, {},
+                                       bytes.substr(std::min<std::size_t>(1, bytes.size())));
     if (!message) {
         refuseStranger("datagram", from.address().to_string());
         return;
     }
-    if (kind != SealedKind::Beat) {
+    if (kind != PeerMessageKind::Heartbeat) {
         if (const auto it = m_takers.find(kind); it != m_takers.end())
             it->second(kind, *message, from);
         return;
     }
     std::string reason;
-    const auto beat = decodeBeat(*message, &reason);
+    const auto beat = decodeGatewayHeartbeat(*message, &reason);
     if (beat)
         take(*beat);
     else
         LogLine(LogLevel::Warn, "peer-datagram-refused").with("reason", reason);
 }
 
-void GatewayPeers::onDatagram(std::initializer_list<SealedKind> kinds, const TakeDatagram &callback)
+void GatewayPeers::onDatagram(std::initializer_list<PeerMessageKind> kinds,
+                              const DatagramHandler &callback)
 {
-    for (const SealedKind kind : kinds)
+    for (const PeerMessageKind kind : kinds)
         m_takers[kind] = callback;
 }
 
-std::set<GatewayIncarnation> GatewayPeers::livesHeard(Duration span) const
+std::set<GatewayIncarnation> GatewayPeers::recentIncarnations(Duration span) const
 {
     const Time now = RuntimeClock::now();
     std::set<GatewayIncarnation> lives;
@@ -358,7 +362,7 @@
     return all;
 }
 
-void GatewayPeers::sendTo(const Endpoint &to, SealedKind kind, std::string payload)
+void GatewayPeers::sendTo(const Endpoint &to, PeerMessageKind kind, std::string payload)
 {
     error_code ec;
     const auto number = asio::ip::make_address(to.address, ec);
@@ -366,10 +370,10 @@
         sendTo(udp::endpoint(number, to.port), kind, std::move(payload));
 }
 
-void GatewayPeers::sendTo(const udp::endpoint &to, SealedKind kind, std::string payload)
+void GatewayPeers::sendTo(const udp::endpoint &to, PeerMessageKind kind, std::string payload)
 {
     const std::string bytes =
-        static_cast<char>(kind) + seal(m_options.keys, kind, {}, std::move(payload));
+        static_cast<char>(kind) + signMessage(m_options.keys, kind, {}, std::move(payload));
     error_code ec; // what cannot leave now is made up for by the next report, or by a time-out
     m_udp.send_to(asio::buffer(bytes), to, 0, ec);
 }
@@ -390,7 +394,8 @@
         && sequence <= it->second.sequence;
 }
 
-bool GatewayPeers::takeSequence(const VmName &from, Incarnation incarnation, std::uint64_t sequence)
+bool GatewayPeers::acceptSequence(const VmName &from, Incarnation incarnation,
+                                  std::uint64_t sequence)
 {
     if (isOld(from, incarnation, sequence))
         return false;
@@ -404,23 +409,23 @@
     return true;
 }
 
-bool GatewayPeers::isBehind(const GatewayBeat &beat) const
+bool GatewayPeers::isBehind(const GatewayHeartbeat &beat) const
 {
     return beat.configVersion > m_state.configVersion()
         || beat.registryRevision > m_state.directory().revision()
         || beat.evacuationRevision > m_state.evacuations().readRevision();
 }
 
-void GatewayPeers::take(const GatewayBeat &beat)
+void GatewayPeers::take(const GatewayHeartbeat &beat)
 {
     if (isOld(beat.from.vm, beat.incarnation, beat.sequence))
         return;
     const Time now = RuntimeClock::now();
     const bool fresh = !m_peers.contains(beat.from.vm);
     m_peers[beat.from.vm] = Peer{beat.from, now, now, beat.incarnation, beat.sequence};
-    m_byTag.insert_or_assign(vmTagOf(beat.from.vm), beat.from);
+    m_byTag.insert_or_assign(vmHash(beat.from.vm), beat.from);
     std::erase_if(m_peers, [&](const auto &peer) {
-        const bool gone = peer.second.heard + peerLimit < now;
+        const bool gone = peer.second.heard + peerTimeout < now;
         if (gone)
             LogLine(LogLevel::Warn, "peer-lost").with("peer", peer.first.text);
         return gone;
@@ -428,18 +433,18 @@
     if (fresh)
         LogLine(LogLevel::Info, "peer-heard").with("peer", beat.from.vm.text);
     takeSample(beat.sample, now);
-    takeLives(beat.lives, now);
-    m_state.compareEvacuations(beat.evacuationRevision, beat.evacuationMark);
+    takeLives(beat.liveGateways, now);
+    m_state.compareEvacuations(beat.evacuationRevision, beat.evacuationChecksum);
     if (m_onMark)
-        m_onMark(beat.quarantineMark, beat.from.address);
+        m_onMark(beat.quarantineChecksum, beat.from.address);
     m_time.recordClock(beat.from.vm, beat.clock, now);
     m_state.setLiveGateways(m_peers.size() + 1);
-    const Duration valid = m_options.beats.loadAge(m_lastTargets, m_peers.size());
+    const Duration valid = m_options.heartbeats.loadLifetime(m_lastTargets, m_peers.size());
     m_state.upstreams().setPeerLoad(
-        beat.from.vm, {untagLoad(beat.load, m_state.directory()), beat.oldestPendingQuery}, now,
+        beat.from.vm, {expandLoad(beat.load, m_state.directory()), beat.oldestPendingQuery}, now,
         valid);
-    m_state.upstreams().addHints(untagNotes(beat.prompts, m_state.directory()), now);
-    m_state.learnLimits(untagLimits(beat.limits, m_state.directory()), beat.from.vm);
+    m_state.upstreams().addHints(expandHints(beat.hints, m_state.directory()), now);
+    m_state.learnLimits(expandLimits(beat.limits, m_state.directory()), beat.from.vm);
     m_state.learnLeaving(beat.leaving, beat.from.vm);
     const bool isBehindNow = isBehind(beat);
     if (!isBehindNow)
@@ -451,8 +456,8 @@
     }
     if (!m_behindSince)
         m_behindSince = now;
-    const bool watches = m_state.directory().inContact() && m_state.shouldWatch(heard());
-    const bool waits = watches && *m_behindSince + patienceInContact > now;
+    const bool watches = m_state.directory().inContact() && m_state.shouldWatch(livePeers());
+    const bool waits = watches && *m_behindSince + peerFetchDelay > now;
     if (!waits && !m_fetching)
         asio::co_spawn(m_io, fetchNews(beat), asio::detached);
 }
@@ -460,9 +465,9 @@
 /// Whoever knows no more than this gateway and was current at a time vouches that this one was.
 /// Were only equal states to vouch, nobody would while changes follow each other faster than they
 /// spread: 100 gateways then began to read the store within half a second.
-void GatewayPeers::takeVouch(const GatewayBeat &beat, Time heardAt)
+void GatewayPeers::takeVouch(const GatewayHeartbeat &beat, Time heardAt)
 {
-    if (!isBehind(beat) && beat.ageMs != GatewayBeat::unknownAge)
+    if (!isBehind(beat) && beat.ageMs != GatewayHeartbeat::unknownAge)
         m_state.confirmed(heardAt - milliseconds(beat.ageMs) - transit);
 }
 
--- a/src/peer/gatewaypeers.h
+++ b/src/peer/gatewaypeers.h
@@ -29,9 +29,9 @@
 #include <reachlead/gatewaystate.h>
 #include <reachlead/usagetable.h>
 
-#include "peer/beatbudget.h"
 #include "peer/gatewaymessages.h"
-#include "peer/proof.h"
+#include "peer/heartbeatbudget.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -44,7 +44,7 @@
     {
         GatewayEntry self;
         std::vector<Endpoint> seeds; ///< peer addresses to try before any gateway is known
-        BeatBudget beats;
+        HeartbeatBudget heartbeats;
         FleetKeys keys; ///< by which gateways know each other; none: nothing is checked
         Counters *counters = nullptr; ///< must outlive the peers; null: nothing is counted
     };
@@ -68,11 +68,11 @@
     /// Replaces the keys, as after a change of the settings.
     void setKeys(FleetKeys keys) { m_options.keys = std::move(keys); }
 
-    /// Gateways that were heard within peerLimit, without this one.
-    std::set<VmName> heard() const;
+    /// Gateways that were heard within peerTimeout, without this one.
+    std::set<VmName> livePeers() const;
 
     /// The same with their entries, and this one.
-    std::map<VmName, GatewayEntry> live() const;
+    std::map<VmName, GatewayEntry> liveGateways() const;
 
     /// Sends a beat at once: the state changed.
     void announce();
@@ -85,32 +85,36 @@
     std::map<VmName, GatewayEntry> fleet() const;
 
     /// Sends a datagram with its proof; one that cannot leave now is lost.
-    void sendTo(const Endpoint &to, SealedKind kind, std::string payload);
-    void sendTo(const boost::asio::ip::udp::endpoint &to, SealedKind kind, std::string payload);
+    void sendTo(const Endpoint &to, PeerMessageKind kind, std::string payload);
+    void sendTo(const boost::asio::ip::udp::endpoint &to, PeerMessageKind kind,
+                std::string payload);
 
     /// Called with each datagram of this fleet that has one of these kinds.
-    using TakeDatagram =
-        std::function<void(SealedKind, std::string_view, const boost::asio::ip::udp::endpoint &)>;
-    void onDatagram(std::initializer_list<SealedKind> kinds, const TakeDatagram &callback);
+    using DatagramHandler = std::function<void(PeerMessageKind, std::string_view,
+                                               const boost::asio::ip::udp::endpoint &)>;
+    void onDatagram(std::initializer_list<PeerMessageKind> kinds, const DatagramHandler &callback);
 
     /// The lives of other gateways that were heard in the last \p span.
-    std::set<GatewayIncarnation> livesHeard(Duration span) const;
+    std::set<GatewayIncarnation> recentIncarnations(Duration span) const;
 
     /// Limits that were heard lately, some where there are many; \p of: of these upstreams alone.
-    std::vector<TaggedLimit> limitsToTell(Time now, const std::set<UpstreamId> *of = nullptr);
+    std::vector<CompactLimit> limitsToReport(Time now, const std::set<UpstreamId> *of = nullptr);
 
     /// Upstreams that said lately that they leave, some where there are many; \p of: of this
     /// service alone.
-    std::vector<UpstreamId> leavingToTell(Time now, const ServiceName *of = nullptr);
+    std::vector<UpstreamId> leavingToReport(Time now, const ServiceName *of = nullptr);
 
     /// The time of day by the clocks of all gateways that were heard.
     UnixMillis timeOfDay() const { return m_time.at(RuntimeClock::now()); }
 
     /// Asked for ReportedLoad::oldestPendingQuery of the next beat.
-    void tellOpenAsks(std::function<QueryId()> callback) { m_openAsks = std::move(callback); }
+    void setOldestPendingQuery(std::function<QueryId()> callback)
+    {
+        m_openAsks = std::move(callback);
+    }
 
-    /// Called with the quarantineMark of each beat and where its sender listens.
-    void onMark(std::function<void(std::uint64_t, const Endpoint &)> callback)
+    /// Called with the quarantineChecksum of each beat and where its sender listens.
+    void onQuarantineChecksum(std::function<void(std::uint64_t, const Endpoint &)> callback)
     {
         m_onMark = std::move(callback);
     }
@@ -119,22 +123,22 @@
     std::uint64_t nextSequence() { return ++m_sequence; }
 
     /// False for what a later word of the same life overtook, and for what is played again.
-    bool takeSequence(const VmName &from, Incarnation incarnation, std::uint64_t sequence);
+    bool acceptSequence(const VmName &from, Incarnation incarnation, std::uint64_t sequence);
 
     /// Silence after which a gateway counts as gone: a beat reaches each of some hundred gateways
     /// about every ten seconds, and of the few on a small site each time.
-    static constexpr Duration peerLimit = seconds(10);
+    static constexpr Duration peerTimeout = seconds(10);
 
     /// One beat in so many names other gateways: they are half of a beat's bytes.
-    static constexpr std::uint64_t sampleEvery = 4;
+    static constexpr std::uint64_t heartbeatsPerSample = 4;
 
     /// Beats until each of the others got one, beyond which a beat tells who lives: a longer one
-    /// lasts longer than peerLimit, so that gateways that live would count as lost.
-    static constexpr std::size_t longRound = 4;
+    /// lasts longer than peerTimeout, so that gateways that live would count as lost.
+    static constexpr std::size_t maxHeartbeatsPerRound = 4;
 
     /// A gateway that is in contact with the registry hears of a change by itself; it asks a peer
     /// only when it is still behind after this long.
-    static constexpr Duration patienceInContact = milliseconds(300);
+    static constexpr Duration peerFetchDelay = milliseconds(300);
 
 private:
     using Socket = boost::asio::ip::tcp::socket;
@@ -152,18 +156,18 @@
     boost::asio::awaitable<void> hearLoop();
     boost::asio::awaitable<void> acceptLoop();
     boost::asio::awaitable<void> answerNews(Socket socket);
-    boost::asio::awaitable<void> fetchNews(GatewayBeat beat);
-    void takeVouch(const GatewayBeat &beat, Time heardAt);
+    boost::asio::awaitable<void> fetchNews(GatewayHeartbeat beat);
+    void takeVouch(const GatewayHeartbeat &beat, Time heardAt);
     void sendBeats();
     const std::vector<Endpoint> &others();
     std::vector<boost::asio::ip::udp::endpoint> nextTargets(std::size_t bytes);
-    GatewayBeat makeBeat();
+    GatewayHeartbeat makeBeat();
     void takeSample(const std::vector<GatewayEntry> &sample, Time now);
-    std::vector<TaggedLife> livesToTell(Time now);
+    std::vector<CompactLiveGateway> livesToTell(Time now);
     void tagRegistered();
-    void takeLives(const std::vector<TaggedLife> &lives, Time now);
-    void take(const GatewayBeat &beat);
-    bool isBehind(const GatewayBeat &beat) const;
+    void takeLives(const std::vector<CompactLiveGateway> &lives, Time now);
+    void take(const GatewayHeartbeat &beat);
+    bool isBehind(const GatewayHeartbeat &beat) const;
     bool isOld(const VmName &from, Incarnation incarnation, std::uint64_t sequence) const;
     void takeDatagram(std::string_view bytes, const boost::asio::ip::udp::endpoint &from);
     void refuseStranger(std::string_view what, const std::string &from);
@@ -185,13 +189,14 @@
     /// Of the rotation over targets. All gateways know the others in the same order, so those that
     /// start together would all tell the same few, and leave the rest without a word for a round.
     std::size_t m_turn = 0;
-    std::size_t m_lastTargets = BeatBudget::fewestTargets; ///< gateways that the last beat went to
+    std::size_t m_lastTargets =
+        HeartbeatBudget::minTargets; ///< gateways that the last beat went to
     std::size_t m_lastBytes = 0; ///< of the last beat, to one of them
     std::uint64_t m_sequence = 0; ///< of the last word of its load that was sent
     std::uint64_t m_beats = 0; ///< that were made
     Time m_announcedAt{};
     std::optional<Time> m_behindSince;
-    std::map<SealedKind, TakeDatagram> m_takers;
+    std::map<PeerMessageKind, DatagramHandler> m_takers;
     FleetTime m_time;
     std::function<QueryId()> m_openAsks;
     std::function<void(std::uint64_t, const Endpoint &)> m_onMark;
--- a/src/peer/gatewaypeers_test.cpp
+++ b/src/peer/gatewaypeers_test.cpp
@@ -9,7 +9,7 @@
 #include <boost/asio/ip/udp.hpp>
 
 #include "peer/gatewaypeers.h"
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -43,10 +43,10 @@
     {
         Node(boost::asio::io_context &io, const std::string &vm, const std::string &key,
              std::vector<Endpoint> seeds)
-            : Node(io, vm, key, std::move(seeds), BeatBudget())
+            : Node(io, vm, key, std::move(seeds), HeartbeatBudget())
         { }
         Node(boost::asio::io_context &io, const std::string &vm, const std::string &key,
-             std::vector<Endpoint> seeds, const BeatBudget &beats)
+             std::vector<Endpoint> seeds, const HeartbeatBudget &beats)
             : peers(io, options(vm, key, std::move(seeds), &counters, beats), state)
         { }
         ~Node() { peers.stop(); }
@@ -55,14 +55,14 @@
 
         static GatewayPeers::Options options(const std::string &vm, const std::string &key,
                                              std::vector<Endpoint> seeds, Counters *counters,
-                                             const BeatBudget &beats = {})
+                                             const HeartbeatBudget &beats = {})
         {
             GatewayPeers::Options made;
             made.self = {VmName(vm), {"127.0.0.1", 0}};
             made.seeds = std::move(seeds);
             made.keys = keys(key);
             made.counters = counters;
-            made.beats = beats;
+            made.heartbeats = beats;
             return made;
         }
         Endpoint address() const { return {"127.0.0.1", peers.port()}; }
@@ -121,20 +121,22 @@
         stranger.state.configRead(config(7));
         clocked.advance(milliseconds(1500));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, told.state.configVersion());
-        CPPUNIT_ASSERT(told.peers.heard().empty());
+        CPPUNIT_ASSERT(told.peers.livePeers().empty());
         CPPUNIT_ASSERT(told.counters.value(Counter::HostileFrames) > 0);
     }
 
     void answerToAnotherQuestionIsRefused()
     {
         const FleetKeys fleet = keys("the key of this fleet");
-        const std::string sealed = seal(fleet, SealedKind::News, "17", "text");
-        CPPUNIT_ASSERT(unseal(fleet, SealedKind::News, "17", sealed) == "text");
-        CPPUNIT_ASSERT(!unseal(fleet, SealedKind::News, "18", sealed));
-        CPPUNIT_ASSERT(!unseal(fleet, SealedKind::Beat, "17", sealed));
-        CPPUNIT_ASSERT(!unseal(fleet, SealedKind::News, "17", "text"));
-        CPPUNIT_ASSERT(!unseal(keys("a key of somebody else"), SealedKind::News, "17", sealed));
-        CPPUNIT_ASSERT(unseal(FleetKeys(), SealedKind::News, "17", "text") == "text");
+        const std::string sealed = signMessage(fleet, PeerMessageKind::StateUpdate, "17", "text");
+        CPPUNIT_ASSERT(verifyMessage(fleet, PeerMessageKind::StateUpdate, "17", sealed) == "text");
+        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::StateUpdate, "18", sealed));
+        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::Heartbeat, "17", sealed));
+        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::StateUpdate, "17", "text"));
+        CPPUNIT_ASSERT(!verifyMessage(keys("a key of somebody else"), PeerMessageKind::StateUpdate,
+                                      "17", sealed));
+        CPPUNIT_ASSERT(verifyMessage(FleetKeys(), PeerMessageKind::StateUpdate, "17", "text")
+                       == "text");
     }
 
     void beatThatIsPlayedAgainChangesNothing()
@@ -143,19 +145,20 @@
         Node hearer(clocked.io, "hearer", "the key of this fleet", {});
         boost::asio::ip::udp::socket socket(clocked.io, boost::asio::ip::udp::v4());
         const auto say = [&](std::uint64_t sequence, std::int32_t ageMs) {
-            GatewayBeat beat;
+            GatewayHeartbeat beat;
             beat.from = {VmName("other"), {"127.0.0.1", 1}};
             beat.incarnation = Incarnation{5};
             beat.sequence = sequence;
             beat.ageMs = ageMs;
-            const std::string bytes = static_cast<char>(SealedKind::Beat)
-                + seal(keys("the key of this fleet"), SealedKind::Beat, {}, encodeBeat(beat));
+            const std::string bytes = static_cast<char>(PeerMessageKind::Heartbeat)
+                + signMessage(keys("the key of this fleet"), PeerMessageKind::Heartbeat, {},
+                              encodeGatewayHeartbeat(beat));
             socket.send_to(boost::asio::buffer(bytes),
                            {boost::asio::ip::make_address("127.0.0.1"), hearer.peers.port()});
             clocked.advance(milliseconds(50));
         };
-        say(5, GatewayBeat::unknownAge);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.peers.heard().size());
+        say(5, GatewayHeartbeat::unknownAge);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.peers.livePeers().size());
         say(5, 0);
         say(4, 0);
         CPPUNIT_ASSERT(!hearer.state.currentAt());
@@ -170,15 +173,16 @@
         Node hearer(clocked.io, "hearer", "the key of this fleet", {});
         hearer.state.configRead(config(7));
         boost::asio::ip::udp::socket socket(clocked.io, boost::asio::ip::udp::v4());
-        GatewayBeat beat;
+        GatewayHeartbeat beat;
         beat.from = {VmName("other"), {"127.0.0.1", 1}};
         beat.incarnation = Incarnation{5};
         const auto say = [&](std::uint64_t version) {
             ++beat.sequence;
             beat.configVersion = version;
             beat.ageMs = 0;
-            const std::string bytes = static_cast<char>(SealedKind::Beat)
-                + seal(keys("the key of this fleet"), SealedKind::Beat, {}, encodeBeat(beat));
+            const std::string bytes = static_cast<char>(PeerMessageKind::Heartbeat)
+                + signMessage(keys("the key of this fleet"), PeerMessageKind::Heartbeat, {},
+                              encodeGatewayHeartbeat(beat));
             socket.send_to(boost::asio::buffer(bytes),
                            {boost::asio::ip::make_address("127.0.0.1"), hearer.peers.port()});
             clocked.advance(milliseconds(50));
@@ -195,7 +199,7 @@
     {
         constexpr std::size_t size = 30;
         Clocked clocked;
-        BeatBudget beats;
+        HeartbeatBudget beats;
         beats.interval = seconds(2);
         beats.bytesPerSecond = 1;
         std::vector<std::unique_ptr<Node>> nodes;
@@ -218,26 +222,26 @@
         for (int n = 0; n < 5; ++n) {
             clocked.advance(seconds(3), step, span);
             for (const auto &node : nodes)
-                CPPUNIT_ASSERT(node->peers.heard().size() >= size - 3);
+                CPPUNIT_ASSERT(node->peers.livePeers().size() >= size - 3);
         }
         nodes.back()->peers.stop();
-        clocked.advance(GatewayPeers::peerLimit + seconds(5), step, span);
+        clocked.advance(GatewayPeers::peerTimeout + seconds(5), step, span);
         for (const auto &node : nodes | std::views::take(size - 1))
-            CPPUNIT_ASSERT(!node->peers.heard().contains(VmName("vm-29")));
+            CPPUNIT_ASSERT(!node->peers.livePeers().contains(VmName("vm-29")));
     }
 
     void shortBeatsGoToMoreGateways()
     {
-        const BeatBudget budget;
+        const HeartbeatBudget budget;
         const Duration interval = budget.interval;
-        CPPUNIT_ASSERT_EQUAL(std::size_t{26}, budget.targets(200, 29));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{13}, budget.targets(200, 479));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, budget.targets(330, 4));
-        CPPUNIT_ASSERT_EQUAL(BeatBudget::fewestTargets, budget.targets(1'100, 29));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.targets(330, 0));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{26}, budget.targetCount(200, 29));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{13}, budget.targetCount(200, 479));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, budget.targetCount(330, 4));
+        CPPUNIT_ASSERT_EQUAL(HeartbeatBudget::minTargets, budget.targetCount(1'100, 29));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.targetCount(330, 0));
         // Whatever the fleet and the load: control has 15 KB/s of a VM.
         for (std::size_t bytes = 100; bytes <= 1'200; bytes += 10) {
-            const auto sent = bytes * budget.targets(bytes, 479);
+            const auto sent = bytes * budget.targetCount(bytes, 479);
             CPPUNIT_ASSERT(static_cast<double>(sent) / toSeconds(interval) <= 15'000);
             if (bytes <= 500) // as it is but under the largest load; as much is heard as sent
                 CPPUNIT_ASSERT(static_cast<double>(2 * sent) / toSeconds(interval) <= 15'000);
@@ -246,21 +250,21 @@
 
     void newsIsToldUntilEachHeardIt()
     {
-        const BeatBudget budget;
+        const HeartbeatBudget budget;
         const Duration interval = budget.interval;
         CPPUNIT_ASSERT(budget.hintWindow(15, 29) == 3 * interval);
         CPPUNIT_ASSERT(budget.hintWindow(4, 4) == 2 * interval);
         CPPUNIT_ASSERT(budget.hintWindow(5, 479) == UpstreamTable::hintWindow);
-        CPPUNIT_ASSERT(budget.loadAge(15, 29) == UpstreamTable::peerLoadLifetime);
-        CPPUNIT_ASSERT(budget.loadAge(10, 100) == 20 * interval);
+        CPPUNIT_ASSERT(budget.loadLifetime(15, 29) == UpstreamTable::peerLoadLifetime);
+        CPPUNIT_ASSERT(budget.loadLifetime(10, 100) == 20 * interval);
     }
 
     void weightyLoadIsToldBeforeTheNextBeat()
     {
-        const BeatBudget budget;
+        const HeartbeatBudget budget;
         const Duration interval = budget.interval;
         const Duration early = milliseconds(110);
-        const TokenCount weighty = BeatBudget::weightyTokens;
+        const TokenCount weighty = HeartbeatBudget::earlyReportTokens;
         constexpr std::size_t beatSize = 175; // bytes, with little load
         CPPUNIT_ASSERT(budget.isDue(interval, 0, beatSize, 29));
         CPPUNIT_ASSERT(budget.isDue(early, weighty, beatSize, 4));
--- a/src/peer/gatewaypeers_news.cpp
+++ b/src/peer/gatewaypeers_update.cpp
@@ -18,7 +18,7 @@
 #include <reachlead/sockettimeouts.h>
 
 #include "peer/gatewaypeers.h"
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -76,7 +76,7 @@
 
 } // namespace
 
-asio::awaitable<void> GatewayPeers::fetchNews(GatewayBeat beat)
+asio::awaitable<void> GatewayPeers::fetchNews(GatewayHeartbeat beat)
 {
     const GatewayEntry peer = beat.from;
     const Time heardAt = RuntimeClock::now();
@@ -90,10 +90,11 @@
         co_await socket->async_connect(tcp::endpoint(number, peer.address.port), keepError(&ec));
     std::optional<std::string> text;
     std::string reason = ec.message();
-    const NewsAsk ask{m_state.versions(), m_random()};
+    const StateQuery ask{m_state.versions(), m_random()};
     const std::string nonce = std::to_string(ask.nonce);
     if (!ec) {
-        const std::string payload = seal(m_options.keys, SealedKind::NewsAsk, {}, encodeAsk(ask));
+        const std::string payload =
+            signMessage(m_options.keys, PeerMessageKind::StateQuery, {}, encodeStateQuery(ask));
         reason = "the connection broke off";
         const bool sent = co_await writeText(*socket, payload);
         if (sent)
@@ -104,10 +105,11 @@
     m_behindSince.reset();
     std::optional<StateUpdate> news;
     if (text) {
-        const auto message = unseal(m_options.keys, SealedKind::News, nonce, *text);
+        const auto message =
+            verifyMessage(m_options.keys, PeerMessageKind::StateUpdate, nonce, *text);
         reason = "the answer is not of this fleet";
         if (message)
-            news = decodeNews(*message, &reason);
+            news = decodeStateUpdate(*message, &reason);
         else
             refuseStranger("news", peer.address.text());
     }
@@ -141,13 +143,13 @@
     const auto text = co_await readText(*held);
     std::optional<std::string_view> message;
     if (text)
-        message = unseal(m_options.keys, SealedKind::NewsAsk, {}, *text);
+        message = verifyMessage(m_options.keys, PeerMessageKind::StateQuery, {}, *text);
     std::string reason;
-    const auto ask = message ? decodeAsk(*message, &reason) : std::nullopt;
+    const auto ask = message ? decodeStateQuery(*message, &reason) : std::nullopt;
     if (ask) {
         const std::string nonce = std::to_string(ask->nonce);
-        const std::string payload = seal(m_options.keys, SealedKind::News, nonce,
-                                         encodeNews(m_state.updateSince(ask->known)));
+        const std::string payload = signMessage(m_options.keys, PeerMessageKind::StateUpdate, nonce,
+                                                encodeStateUpdate(m_state.updateSince(ask->known)));
         co_await writeText(*held, payload);
     } else if (text) {
         error_code ec;
--- a/src/peer/linklife.cpp
+++ b/src/peer/linkstatemachine.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "peer/linklife.h"
+#include "peer/linkstatemachine.h"
 
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
@@ -70,7 +70,7 @@
 
 } // namespace
 
-class LinkLife::Impl : public msm::back::state_machine<MachineDef>
+class LinkStateMachine::Impl : public msm::back::state_machine<MachineDef>
 {
 public:
     template <class Event> bool move()
@@ -81,14 +81,14 @@
     }
 };
 
-LinkLife::LinkLife() : m_impl(std::make_unique<Impl>())
+LinkStateMachine::LinkStateMachine() : m_impl(std::make_unique<Impl>())
 {
     m_impl->start();
 }
 
-LinkLife::~LinkLife() = default;
+LinkStateMachine::~LinkStateMachine() = default;
 
-bool LinkLife::apply(LinkEvent event)
+bool LinkStateMachine::apply(LinkEvent event)
 {
     using Move = bool (Impl::*)();
     constexpr std::array<Move, 5> moves{&Impl::move<Dial>, &Impl::move<Connected>,
@@ -97,7 +97,7 @@
     return (*m_impl.*moves[static_cast<std::size_t>(event)])();
 }
 
-LinkState LinkLife::state() const
+LinkState LinkStateMachine::state() const
 {
     return static_cast<LinkState>(m_impl->current_state()[0]);
 }
--- a/src/peer/linklife.h
+++ b/src/peer/linkstatemachine.h
@@ -22,11 +22,11 @@
 };
 
 /// Allows only the moves a link can make. Not thread-safe.
-class LinkLife
+class LinkStateMachine
 {
 public:
-    LinkLife();
-    ~LinkLife();
+    LinkStateMachine();
+    ~LinkStateMachine();
 
     /// Makes a move; false when the state does not allow it, and nothing changes.
     bool apply(LinkEvent event);
--- a/src/peer/proof.cpp
+++ b/src/peer/messageauth.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 #include <fmt/format.h>
 
@@ -9,19 +9,20 @@
 
 namespace reachlead {
 
-std::string helloText(const std::string &agentNonce, const VmName &agent, const Hello &hello)
+std::string helloSigningInput(const std::string &agentNonce, const VmName &agent,
+                              const Hello &hello)
 {
     return fmt::format("hello\n{}\n{}\n{}\n{:x}\n{}\n{}\n{}", agentNonce, agent.text, hello.vm.text,
                        hello.incarnation.value, hello.session, hello.heartbeatPort, hello.nonce);
 }
 
-std::string welcomeText(const std::string &routerNonce, const Welcome &welcome)
+std::string welcomeSigningInput(const std::string &routerNonce, const Welcome &welcome)
 {
     return fmt::format("welcome\n{}\n{}\n{:x}\n{}", routerNonce, welcome.vm.text,
                        welcome.incarnation.value, welcome.target.text);
 }
 
-std::string heartbeatText(Heartbeat beat)
+std::string heartbeatSigningInput(Heartbeat beat)
 {
     beat.proof.clear();
     return encodeHeartbeat(beat);
@@ -29,22 +30,22 @@
 
 namespace {
 
-std::string sealedText(SealedKind kind, std::string_view nonce, std::string_view message)
+std::string sealedText(PeerMessageKind kind, std::string_view nonce, std::string_view message)
 {
     return fmt::format("{}{:08x}{}{}", static_cast<char>(kind), nonce.size(), nonce, message);
 }
 
 } // namespace
 
-std::string seal(const FleetKeys &keys, SealedKind kind, std::string_view nonce,
-                 std::string message)
+std::string signMessage(const FleetKeys &keys, PeerMessageKind kind, std::string_view nonce,
+                        std::string message)
 {
     const std::string tag = keys.tag(sealedText(kind, nonce, message));
     return std::move(message) + tag;
 }
 
-std::optional<std::string_view> unseal(const FleetKeys &keys, SealedKind kind,
-                                       std::string_view nonce, std::string_view bytes)
+std::optional<std::string_view> verifyMessage(const FleetKeys &keys, PeerMessageKind kind,
+                                              std::string_view nonce, std::string_view bytes)
 {
     if (keys.empty())
         return bytes;
--- a/src/peer/payload.h
+++ b/src/peer/payload.h
@@ -32,7 +32,7 @@
     try {
         FrameReader archive(payload);
         archive(parts...);
-        if (archive.left() == 0)
+        if (archive.remaining() == 0)
             return true;
         *reason = "bytes behind the message";
     } catch (const std::exception &e) {
--- a/src/peer/placementlink.cpp
+++ b/src/peer/placementlink.cpp
@@ -35,13 +35,12 @@
                              GatewayPeers &peers)
     : m_io(io), m_options(options), m_state(state), m_peers(peers), m_asks(state.vm())
 {
-    m_peers.onDatagram(
-        {SealedKind::PlacementAsk, SealedKind::PlacementAnswer, SealedKind::GroupLoad},
-        [this](SealedKind kind, std::string_view message, const UdpEndpoint &from) {
-            take(kind, message, from);
-        });
-    m_peers.tellOpenAsks([this] { return m_asks.oldestPendingQuery(); });
-    if (m_options.isOn)
+    m_peers.onDatagram({PeerMessageKind::PlacementQuery, PeerMessageKind::PlacementReply,
+                        PeerMessageKind::GroupLoad},
+                       [this](PeerMessageKind kind, std::string_view message,
+                              const UdpEndpoint &from) { take(kind, message, from); });
+    m_peers.setOldestPendingQuery([this] { return m_asks.oldestPendingQuery(); });
+    if (m_options.isEnabled)
         asio::co_spawn(io, reportLoop(), asio::detached);
 }
 
@@ -67,9 +66,9 @@
     }
     m_strong = strongGateways(cores);
     m_owners = m_strong;
-    if (now < m_began + GatewayPeers::peerLimit)
+    if (now < m_began + GatewayPeers::peerTimeout)
         return; // one that was not heard yet may live
-    const std::set<VmName> heard = m_peers.heard();
+    const std::set<VmName> heard = m_peers.livePeers();
     std::erase_if(m_owners,
                   [&](const VmName &vm) { return vm != m_state.vm() && !heard.contains(vm); });
     if (!m_owners.empty())
@@ -85,7 +84,7 @@
 }
 
 /// Sends to a gateway that is still known; to another it is as if the datagram were lost.
-void PlacementLink::sendTo(const VmName &vm, SealedKind kind, const std::string &payload)
+void PlacementLink::sendTo(const VmName &vm, PeerMessageKind kind, const std::string &payload)
 {
     const auto it = m_fleet.find(vm);
     if (it != m_fleet.end())
@@ -105,12 +104,13 @@
 std::optional<GroupName> PlacementLink::groupOf(const SelectionQuery &ask)
 {
     const UpstreamDirectory &directory = m_state.directory();
-    if (!m_options.isOn)
+    if (!m_options.isEnabled)
         return std::nullopt;
     if (!ask.prompt.empty())
         return m_state.groups().findGroup(ask.service, keyParts(ask.model, ask.prompt), directory);
     const Time now = RuntimeClock::now();
-    if (!m_options.plainCalls && !m_state.upstreams().isBlockedByLimit(ask, directory, now))
+    if (!m_options.schedulesPlainCalls
+        && !m_state.upstreams().isBlockedByLimit(ask, directory, now))
         return std::nullopt;
     const KeyedPart any{m_random(), 0}; // so that the calls spread over the groups
     return m_state.groups().findGroup(ask.service, std::span(&any, 1), directory);
@@ -127,7 +127,7 @@
         const VmName scheduler = schedulerFor(*group);
         ask.isGroupScheduler = scheduler == m_state.vm();
         ask.ownsLimits = ownsLimitsOf(*group);
-        if (ask.prompt.empty() && !m_options.plainCalls)
+        if (ask.prompt.empty() && !m_options.schedulesPlainCalls)
             ask.mayRefuse = false;
         if (!ask.isGroupScheduler) {
             const auto answered = co_await askScheduler(scheduler, *group, ask);
@@ -177,20 +177,20 @@
 PlacementLink::askScheduler(VmName scheduler, GroupName group, SelectionQuery ask)
 {
     const QueryId number = m_asks.open(scheduler);
-    const std::string payload = encodePlacementAsk(makeAsk(number, group, ask));
-    sendTo(scheduler, SealedKind::PlacementAsk, payload);
+    const std::string payload = encodePlacementQuery(makeAsk(number, group, ask));
+    sendTo(scheduler, PeerMessageKind::PlacementQuery, payload);
     Waiter waiter(m_io);
     const auto waiters = m_waiters; // may outlive the link
     waiters->emplace(number, &waiter);
     error_code ec;
-    waiter.timer.expires_after(m_options.answerLimit);
+    waiter.timer.expires_after(m_options.replyTimeout);
     co_await waiter.timer.async_wait(keepError(&ec));
     waiters->erase(number);
     PlacementResult placed;
     placed.placedBy = scheduler;
-    if (waiter.answer && waiter.answer->comeBackMs) {
+    if (waiter.answer && waiter.answer->retryAfterMs) {
         m_asks.conclude(number);
-        placed.retryAfter = milliseconds(*waiter.answer->comeBackMs);
+        placed.retryAfter = milliseconds(*waiter.answer->retryAfterMs);
         co_return placed;
     }
     const bool isPlaced = waiter.answer && waiter.answer->placed;
@@ -259,37 +259,37 @@
     const std::set<UpstreamId> &members = m_state.groups().groupMembers(group, m_state.directory());
     std::ranges::copy_if(members, std::back_inserter(found),
                          [&](const UpstreamId &id) { return backoffs.isBackedOff(id, now); });
-    found.resize(std::min(found.size(), mostBackedOff));
+    found.resize(std::min(found.size(), maxBackedOffUpstreams));
     return found;
 }
 
-PlacementAsk PlacementLink::makeAsk(QueryId number, const GroupName &group,
-                                    const SelectionQuery &ask)
+PlacementQuery PlacementLink::makeAsk(QueryId number, const GroupName &group,
+                                      const SelectionQuery &ask)
 {
     const UpstreamDirectory &directory = m_state.directory();
-    PlacementAsk made;
+    PlacementQuery made;
     const LoadByGroup own = ownLoads();
     const auto it = own.find(group);
     made.report = makeReport(group, it == own.end() ? LoadByUpstream{} : it->second);
-    made.number = number;
+    made.queryId = number;
     made.zone = m_state.zone();
     made.model = ask.model;
     std::ranges::transform(ask.prompt, std::back_inserter(made.prompt), [](const PromptPart &part) {
-        return AskedPart{part.id, static_cast<std::uint32_t>(part.tokens)};
+        return CompactPromptPart{part.id, static_cast<std::uint32_t>(part.tokens)};
     });
     if (ask.tried != nullptr)
-        std::ranges::transform(*ask.tried, std::back_inserter(made.avoided), upstreamHash);
-    std::ranges::transform(backedOffIn(group), std::back_inserter(made.avoided), upstreamHash);
-    const auto failing = m_state.upstreams().unhealthyUpstreams(ask.service, directory,
-                                                                RuntimeClock::now(), mostFailing);
+        std::ranges::transform(*ask.tried, std::back_inserter(made.excluded), upstreamHash);
+    std::ranges::transform(backedOffIn(group), std::back_inserter(made.excluded), upstreamHash);
+    const auto failing = m_state.upstreams().unhealthyUpstreams(
+        ask.service, directory, RuntimeClock::now(), maxFailingUpstreams);
     std::ranges::transform(failing, std::back_inserter(made.failing), upstreamHash);
     made.targetMs = static_cast<std::uint32_t>(toMillis(ask.slack.target));
-    made.leftMs = static_cast<std::uint32_t>(std::max(0.0, toMillis(ask.slack.timeLeft)));
+    made.timeLeftMs = static_cast<std::uint32_t>(std::max(0.0, toMillis(ask.slack.timeLeft)));
     made.isMostUrgent = ask.slack.isMostUrgent;
-    made.rank = static_cast<std::uint8_t>(std::min(ask.slack.urgencyRank, 255U));
+    made.urgencyRank = static_cast<std::uint8_t>(std::min(ask.slack.urgencyRank, 255U));
     made.mayRefuse = ask.mayRefuse;
     if (ask.permittedZones != nullptr)
-        made.zones = *ask.permittedZones;
+        made.permittedZones = *ask.permittedZones;
     return made;
 }
 
@@ -303,12 +303,12 @@
     report.sequence = m_peers.nextSequence();
     report.group = group;
     report.oldestPendingQuery = m_asks.oldestPendingQuery();
-    report.load = tagLoad(load);
-    report.pace = m_state.upstreams().takeRateSample(group.service);
+    report.load = compactLoad(load);
+    report.rateSample = m_state.upstreams().takeRateSample(group.service);
     const Time now = RuntimeClock::now();
     report.limits =
-        m_peers.limitsToTell(now, &m_state.groups().groupMembers(group, m_state.directory()));
-    report.leaving = m_peers.leavingToTell(now, &group.service);
+        m_peers.limitsToReport(now, &m_state.groups().groupMembers(group, m_state.directory()));
+    report.leaving = m_peers.leavingToReport(now, &group.service);
     m_reported[group] = {load, RuntimeClock::now()};
     return report;
 }
@@ -349,29 +349,29 @@
         const GroupLoad report = makeReport(group, load);
         if (scheduler == m_state.vm())
             continue;
-        sendTo(scheduler, SealedKind::GroupLoad, encodeReport(report));
+        sendTo(scheduler, PeerMessageKind::GroupLoad, encodeGroupLoad(report));
     }
     std::erase_if(m_reported, [](const auto &it) { return it.second.load.empty(); });
 }
 
 // Answering
 
-void PlacementLink::take(SealedKind kind, std::string_view message, const UdpEndpoint &from)
+void PlacementLink::take(PeerMessageKind kind, std::string_view message, const UdpEndpoint &from)
 {
     std::string reason;
     bool isGood = false;
-    if (kind == SealedKind::PlacementAsk) {
-        const auto ask = decodePlacementAsk(message, &reason);
+    if (kind == PeerMessageKind::PlacementQuery) {
+        const auto ask = decodePlacementQuery(message, &reason);
         isGood = ask.has_value();
         if (ask)
             takeAsk(*ask, from);
-    } else if (kind == SealedKind::PlacementAnswer) {
-        auto answer = decodePlacementAnswer(message, &reason);
+    } else if (kind == PeerMessageKind::PlacementReply) {
+        auto answer = decodePlacementReply(message, &reason);
         isGood = answer.has_value();
         if (answer)
             takeAnswer(std::move(*answer));
-    } else if (kind == SealedKind::GroupLoad) {
-        const auto report = decodeReport(message, &reason);
+    } else if (kind == PeerMessageKind::GroupLoad) {
+        const auto report = decodeGroupLoad(message, &reason);
         isGood = report.has_value();
         if (report)
             takeReport(*report);
@@ -382,34 +382,35 @@
 
 void PlacementLink::takeReport(const GroupLoad &report)
 {
-    if (!m_peers.takeSequence(report.from, report.incarnation, report.sequence))
+    if (!m_peers.acceptSequence(report.from, report.incarnation, report.sequence))
         return;
     const std::set<UpstreamId> &group =
         m_state.groups().groupMembers(report.group, m_state.directory());
     m_state.upstreams().setPeerLoad(
-        report.from, {untagLoad(report.load, m_state.directory()), report.oldestPendingQuery},
+        report.from, {expandLoad(report.load, m_state.directory()), report.oldestPendingQuery},
         group, RuntimeClock::now());
-    if (!report.pace.empty())
-        m_state.upstreams().addRateSample(report.group.service, report.pace);
-    m_state.learnLimits(untagLimits(report.limits, m_state.directory()), report.from);
+    if (!report.rateSample.empty())
+        m_state.upstreams().addRateSample(report.group.service, report.rateSample);
+    m_state.learnLimits(expandLimits(report.limits, m_state.directory()), report.from);
     m_state.learnLeaving(report.leaving, report.from);
 }
 
-void PlacementLink::takeAsk(const PlacementAsk &ask, const UdpEndpoint &from)
+void PlacementLink::takeAsk(const PlacementQuery &ask, const UdpEndpoint &from)
 {
     takeReport(ask.report);
-    PlacementAnswer answer;
+    PlacementReply answer;
     answer.from = m_state.vm();
-    answer.asker = ask.report.incarnation;
-    answer.number = ask.number;
+    answer.querier = ask.report.incarnation;
+    answer.queryId = ask.queryId;
     const UpstreamDirectory &directory = m_state.directory();
     const GroupName &group = ask.report.group;
     std::vector<PromptPart> prompt;
-    std::ranges::transform(ask.prompt, std::back_inserter(prompt),
-                           [](const AskedPart &part) { return PromptPart{part.id, part.tokens}; });
+    std::ranges::transform(
+        ask.prompt, std::back_inserter(prompt),
+        [](const CompactPromptPart &part) { return PromptPart{part.id, part.tokens}; });
     const Time now = RuntimeClock::now();
     std::set<UpstreamId> avoided;
-    for (const UpstreamHash tag : ask.avoided) {
+    for (const UpstreamHash tag : ask.excluded) {
         if (const UpstreamEntry *entry = directory.findByHash(tag))
             avoided.insert(entry->id);
     }
@@ -424,10 +425,10 @@
     wanted.serviceInfo = m_state.table() ? m_state.table()->service(group.service) : nullptr;
     wanted.zone = &ask.zone;
     wanted.group = &m_state.groups().groupMembers(group, directory);
-    wanted.slack = {milliseconds(ask.targetMs), milliseconds(ask.leftMs), ask.isMostUrgent,
-                    ask.rank};
+    wanted.slack = {milliseconds(ask.targetMs), milliseconds(ask.timeLeftMs), ask.isMostUrgent,
+                    ask.urgencyRank};
     wanted.mayRefuse = ask.mayRefuse;
-    wanted.permittedZones = ask.zones ? &*ask.zones : nullptr;
+    wanted.permittedZones = ask.permittedZones ? &*ask.permittedZones : nullptr;
     wanted.isLocal = false;
     wanted.isGroupScheduler = true;
     wanted.ownsLimits = ownsLimitsOf(group);
@@ -437,9 +438,9 @@
         chosen = choosePatiently(wanted);
     const std::optional<Selection> &choice = chosen.selection;
     if (chosen.retryAfter)
-        answer.comeBackMs = static_cast<std::uint32_t>(toMillis(*chosen.retryAfter));
+        answer.retryAfterMs = static_cast<std::uint32_t>(toMillis(*chosen.retryAfter));
     if (choice) {
-        m_state.upstreams().addPendingPlacement(ask.report.from, ask.number, wanted, *choice, now);
+        m_state.upstreams().addPendingPlacement(ask.report.from, ask.queryId, wanted, *choice, now);
         PlacedCall placed;
         placed.upstream = upstreamHash(choice->upstream);
         placed.prefillTokens = static_cast<std::uint32_t>(choice->prefillTokens);
@@ -452,16 +453,16 @@
         answer.placed = placed;
     }
     count(choice ? Counter::PlacementsGiven : Counter::PlacementsDeclined);
-    m_peers.sendTo(from, SealedKind::PlacementAnswer, encodePlacementAnswer(answer));
+    m_peers.sendTo(from, PeerMessageKind::PlacementReply, encodePlacementReply(answer));
 }
 
-void PlacementLink::takeAnswer(PlacementAnswer answer)
+void PlacementLink::takeAnswer(PlacementReply answer)
 {
-    if (answer.asker != m_peers.incarnation())
+    if (answer.querier != m_peers.incarnation())
         return;
-    if (!m_asks.replyReceived(answer.number, answer.from))
+    if (!m_asks.replyReceived(answer.queryId, answer.from))
         return;
-    const auto it = m_waiters->find(answer.number);
+    const auto it = m_waiters->find(answer.queryId);
     if (it == m_waiters->end())
         return;
     it->second->answer = std::move(answer);
--- a/src/peer/placementlink.h
+++ b/src/peer/placementlink.h
@@ -34,12 +34,12 @@
 public:
     struct Options
     {
-        bool isOn = true; ///< off: each gateway places its calls by itself
-        bool plainCalls = false; ///< also calls without a prompt
+        bool isEnabled = true; ///< off: each gateway places its calls by itself
+        bool schedulesPlainCalls = false; ///< also calls without a prompt
         /// Longest wait for an answer: some round trips between zones (1 to 3 ms each) and the turn
         /// of a busy process on a tenth of a core; well below the least target of a first event
         /// (600 ms).
-        Duration answerLimit = milliseconds(60);
+        Duration replyTimeout = milliseconds(60);
         /// Between looks whether a scheduler is to be told of a changed load: a prompt takes
         /// longer than this to be read, so little changes in between.
         Duration reportInterval = milliseconds(100);
@@ -70,7 +70,7 @@
         explicit Waiter(boost::asio::io_context &io) : timer(io) { }
 
         Timer timer;
-        std::optional<PlacementAnswer> answer;
+        std::optional<PlacementReply> answer;
     };
     using Waiters = std::map<QueryId, Waiter *>;
 
@@ -89,16 +89,16 @@
     PlacementResult choosePatiently(const SelectionQuery &ask);
     std::optional<Selection> readPlaced(const PlacedCall &placed, const SelectionQuery &ask) const;
     std::vector<UpstreamId> backedOffIn(const GroupName &group);
-    PlacementAsk makeAsk(QueryId number, const GroupName &group, const SelectionQuery &ask);
+    PlacementQuery makeAsk(QueryId number, const GroupName &group, const SelectionQuery &ask);
     GroupLoad makeReport(const GroupName &group, const LoadByUpstream &load);
     LoadByGroup ownLoads();
     void sendReports();
-    void take(SealedKind kind, std::string_view message, const UdpEndpoint &from);
-    void takeAsk(const PlacementAsk &ask, const UdpEndpoint &from);
-    void takeAnswer(PlacementAnswer answer);
+    void take(PeerMessageKind kind, std::string_view message, const UdpEndpoint &from);
+    void takeAsk(const PlacementQuery &ask, const UdpEndpoint &from);
+    void takeAnswer(PlacementReply answer);
     void takeReport(const GroupLoad &report);
     void refreshFleet();
-    void sendTo(const VmName &vm, SealedKind kind, const std::string &payload);
+    void sendTo(const VmName &vm, PeerMessageKind kind, const std::string &payload);
     VmName schedulerFor(const GroupName &group);
     bool ownsLimitsOf(const GroupName &group);
     std::optional<GroupName> groupOf(const SelectionQuery &ask);
--- a/src/peer/placementlink_statements_test.cpp
+++ b/src/peer/placementlink_notices_test.cpp
@@ -8,9 +8,9 @@
 namespace reachlead {
 
 /// What upstreams say of themselves in answers to one gateway, and another one places calls.
-class PlacementStatementsTest : public CppUnit::TestFixture
+class PlacementNoticesTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(PlacementStatementsTest);
+    CPPUNIT_TEST_SUITE(PlacementNoticesTest);
     CPPUNIT_TEST(schedulerKeepsALimitThatItsAskerHeard);
     CPPUNIT_TEST(plainCallsArePlacedWhileAnUpstreamIsLimited);
     CPPUNIT_TEST(limitsOfALostSchedulerAreGivenOutByTheNext);
@@ -25,8 +25,8 @@
     static void limitAll(const Pair &pair, CallRate rate)
     {
         for (const UpstreamEntry &entry : Pair::upstreams(upstreamCount))
-            pair.asker->state.upstreams().limits().recordAnswer(entry.id, rate, RuntimeClock::now(),
-                                                                vmTimeOfDay());
+            pair.querier->state.upstreams().limits().recordAnswer(
+                entry.id, rate, RuntimeClock::now(), vmTimeOfDay());
     }
 
     void schedulerKeepsALimitThatItsAskerHeard()
@@ -34,7 +34,7 @@
         Pair pair;
         limitAll(pair, CallRate{1000});
         for (unsigned n = 0; n < 20; ++n) {
-            pair.ask();
+            pair.query();
             pair.advance(milliseconds(10));
         }
         const std::uint64_t given = pair.scheduler->counters.value(Counter::PlacementsGiven);
@@ -45,11 +45,11 @@
     {
         Pair pair;
         pair.prompt.clear();
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
-        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.querier->state.vm());
         limitAll(pair, CallRate{1000});
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed->selection);
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
@@ -59,14 +59,14 @@
     void schedulerHearsOfAnUpstreamThatLeaves()
     {
         Pair pair;
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         UpstreamNotice leaving;
         leaving.isLeaving = true;
         const UpstreamId leaver = pair.placed->selection->upstream;
-        pair.asker->state.applyNotice(leaver, leaving);
+        pair.querier->state.applyNotice(leaver, leaving);
         for (int n = 0; n < 5; ++n) {
-            pair.ask();
+            pair.query();
             pair.advance(milliseconds(10));
             CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
             CPPUNIT_ASSERT(pair.placed->selection->upstream != leaver);
@@ -82,18 +82,18 @@
         Pair pair;
         pair.prompt = {{1, 100}, {2, 50}};
         const Time now = RuntimeClock::now();
-        pair.asker->state.upstreams().backoffs().add(UpstreamId("u0"), seconds(3), now);
-        pair.asker->state.upstreams().backoffs().add(UpstreamId("u1"), seconds(3), now);
+        pair.querier->state.upstreams().backoffs().add(UpstreamId("u0"), seconds(3), now);
+        pair.querier->state.upstreams().backoffs().add(UpstreamId("u1"), seconds(3), now);
         pair.scheduler->state.upstreams().backoffs().add(UpstreamId("u2"), seconds(3), now);
         for (int n = 0; n < 5; ++n) {
-            pair.ask();
+            pair.query();
             pair.advance(milliseconds(10));
             CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
             CPPUNIT_ASSERT(pair.placed->selection->upstream == UpstreamId("u2"));
             CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
         }
-        pair.asker->state.upstreams().backoffs().add(UpstreamId("u2"), seconds(3), now);
-        pair.ask();
+        pair.querier->state.upstreams().backoffs().add(UpstreamId("u2"), seconds(3), now);
+        pair.query();
         pair.advance(milliseconds(100));
         CPPUNIT_ASSERT(pair.placed && !pair.placed->selection);
     }
@@ -109,7 +109,7 @@
         const auto placedIn = [&](Duration span) {
             unsigned placed = 0;
             for (Duration done{}; done < span; done += milliseconds(100)) {
-                pair.ask();
+                pair.query();
                 pair.advance(milliseconds(100));
                 placed += pair.placed && pair.placed->selection ? 1U : 0U;
             }
@@ -117,12 +117,12 @@
         };
         const unsigned unsure = placedIn(seconds(4)); // it may be another one's part still
         CPPUNIT_ASSERT(unsure <= upstreamCount * 2);
-        pair.advance(GatewayPeers::peerLimit);
+        pair.advance(GatewayPeers::peerTimeout);
         const unsigned sure = placedIn(seconds(4));
         CPPUNIT_ASSERT(sure >= 8 && sure <= upstreamCount * 4);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlacementStatementsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PlacementNoticesTest);
 
 } // namespace reachlead
--- a/src/peer/placementlink_test.cpp
+++ b/src/peer/placementlink_test.cpp
@@ -36,7 +36,7 @@
 
     void messagesComeBackAsTheyWere()
     {
-        PlacementAsk ask;
+        PlacementQuery ask;
         ask.report = {VmName("vm"),
                       Incarnation{7},
                       9,
@@ -46,44 +46,44 @@
                       {8'000, 300, 2, 900},
                       {{5, CallRate{2200}, 7}},
                       {UpstreamId("u", 9)}};
-        ask.number = 5;
+        ask.queryId = 5;
         ask.zone = ZoneName("z");
         ask.model = "m";
         ask.prompt = {{17, 400}, {18, 13'000}};
-        ask.avoided = {77};
+        ask.excluded = {77};
         ask.failing = {78, 79};
         std::string reason;
-        const auto back = decodePlacementAsk(encodePlacementAsk(ask), &reason);
+        const auto back = decodePlacementQuery(encodePlacementQuery(ask), &reason);
         CPPUNIT_ASSERT(back.has_value());
-        CPPUNIT_ASSERT_EQUAL(encodePlacementAsk(ask), encodePlacementAsk(*back));
+        CPPUNIT_ASSERT_EQUAL(encodePlacementQuery(ask), encodePlacementQuery(*back));
         CPPUNIT_ASSERT(back->report.group == ask.report.group);
         CPPUNIT_ASSERT_EQUAL(QueryId{11}, back->report.oldestPendingQuery);
-        CPPUNIT_ASSERT_EQUAL(UnixMillis{7}, back->report.limits.at(0).stamp);
+        CPPUNIT_ASSERT_EQUAL(UnixMillis{7}, back->report.limits.at(0).timestamp);
         CPPUNIT_ASSERT(back->report.leaving.at(0) == UpstreamId("u", 9));
         ask.report.limits.clear(); // most of the time no limit is in force, and none leaves
         ask.report.leaving.clear();
-        PlacementAnswer answer{VmName("vm"), Incarnation{7}, 5,
-                               PlacedCall{1, 2, 3, 9, true, false, 4}, 5};
-        const auto told = decodePlacementAnswer(encodePlacementAnswer(answer), &reason);
+        PlacementReply answer{VmName("vm"), Incarnation{7}, 5,
+                              PlacedCall{1, 2, 3, 9, true, false, 4}, 5};
+        const auto told = decodePlacementReply(encodePlacementReply(answer), &reason);
         CPPUNIT_ASSERT(told && told->placed && told->placed->fetchFrom == 4U);
-        CPPUNIT_ASSERT(encodePlacementAsk(ask).size() < 160);
+        CPPUNIT_ASSERT(encodePlacementQuery(ask).size() < 160);
     }
 
     void hostileBytesAreRefused()
     {
         std::string reason;
-        const std::string good = encodePlacementAsk(PlacementAsk());
+        const std::string good = encodePlacementQuery(PlacementQuery());
         for (std::size_t n = 0; n < good.size(); ++n)
-            CPPUNIT_ASSERT(!decodePlacementAsk(good.substr(0, n), &reason));
-        CPPUNIT_ASSERT(!decodePlacementAsk(good + "x", &reason));
-        CPPUNIT_ASSERT(!decodeReport(std::string(200, '\xff'), &reason));
-        CPPUNIT_ASSERT(!decodePlacementAnswer(std::string(200, '\xff'), &reason));
+            CPPUNIT_ASSERT(!decodePlacementQuery(good.substr(0, n), &reason));
+        CPPUNIT_ASSERT(!decodePlacementQuery(good + "x", &reason));
+        CPPUNIT_ASSERT(!decodeGroupLoad(std::string(200, '\xff'), &reason));
+        CPPUNIT_ASSERT(!decodePlacementReply(std::string(200, '\xff'), &reason));
     }
 
     void schedulerPlacesAndCountsTheCall()
     {
         Pair pair;
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
@@ -96,11 +96,11 @@
     void schedulerHearsOfTheEnd()
     {
         Pair pair;
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         const Selection choice = pair.placed->selection.value();
-        pair.asker->state.upstreams().ended(choice.upstream, choice.prefillTokens,
-                                            choice.isShortPrompt);
+        pair.querier->state.upstreams().ended(choice.upstream, choice.prefillTokens,
+                                              choice.isShortPrompt);
         pair.advance(milliseconds(150));
         CPPUNIT_ASSERT_EQUAL(0U, pair.scheduler->running(choice.upstream));
     }
@@ -109,27 +109,27 @@
     {
         Pair pair;
         pair.scheduler->peers.stop();
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(40));
         CPPUNIT_ASSERT(!pair.placed);
         pair.advance(milliseconds(40));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
-        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
-        pair.ask(); // it places by itself for a while
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.querier->state.vm());
+        pair.query(); // it places by itself for a while
         pair.advance(milliseconds(5));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                             pair.asker->counters.value(Counter::PlacementsUnanswered));
+                             pair.querier->counters.value(Counter::PlacementsUnanswered));
     }
 
     void stoppingSchedulerDeclinesAtOnce()
     {
         Pair pair;
         pair.scheduler->link.beginStop();
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
-        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.querier->state.vm());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
                              pair.scheduler->counters.value(Counter::PlacementsDeclined));
     }
@@ -150,12 +150,12 @@
             entry.coldLeftMs = 2'000;
             entry.revision = 2;
         }
-        for (Node *node : {pair.scheduler.get(), pair.asker.get()}) {
+        for (Node *node : {pair.scheduler.get(), pair.querier.get()}) {
             node->state.configRead(config);
             node->state.upstreamsListed(cold, 2);
         }
         for (unsigned n = 0; n < 10; ++n) {
-            pair.ask();
+            pair.query();
             pair.advance(milliseconds(10));
         }
         pair.advance(milliseconds(50)); // the last question is read, also on a busy machine
@@ -165,7 +165,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10 - upstreamCount},
                              counters.value(Counter::PlacementsDeclined));
         pair.advance(seconds(2));
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
@@ -175,7 +175,7 @@
     void lateAnswerIsNotTaken()
     {
         Pair pair;
-        pair.ask();
+        pair.query();
         // The datagram waits unread while the clock passes the limit.
         RuntimeClock::advance(milliseconds(70));
         pair.advance(milliseconds(200));
@@ -190,13 +190,13 @@
     {
         Pair pair;
         // The asker knows a later registry, without the upstream that the scheduler will name.
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         const UpstreamId gone = pair.placed->selection->upstream;
         std::vector<UpstreamEntry> left = upstreams(upstreamCount);
         std::erase_if(left, [&](const UpstreamEntry &entry) { return entry.id == gone; });
-        pair.asker->state.upstreamsListed(left, 2);
-        pair.ask();
+        pair.querier->state.upstreamsListed(left, 2);
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT(pair.placed->selection->upstream != gone);
@@ -205,10 +205,10 @@
     void strangerPlacesNothing()
     {
         Pair pair("a key of somebody else");
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(80));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
-        CPPUNIT_ASSERT(pair.placed->placedBy == pair.asker->state.vm());
+        CPPUNIT_ASSERT(pair.placed->placedBy == pair.querier->state.vm());
         CPPUNIT_ASSERT(pair.scheduler->counters.value(Counter::HostileFrames) > 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
                              pair.scheduler->counters.value(Counter::PlacementsGiven));
@@ -218,16 +218,16 @@
     {
         Pair pair;
         pair.load(70'000); // 2 s of reading
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && !pair.placed->selection && pair.placed->retryAfter);
         CPPUNIT_ASSERT(*pair.placed->retryAfter
                        > milliseconds(1840)); // 2 s less a quarter of the target
         CPPUNIT_ASSERT(*pair.placed->retryAfter < milliseconds(1860));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             pair.asker->counters.value(Counter::PlacementsUnanswered));
+                             pair.querier->counters.value(Counter::PlacementsUnanswered));
         pair.load(3'500); // 0.1 s
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
     }
@@ -238,9 +238,9 @@
         LoadByUpstream load;
         for (const UpstreamEntry &entry : upstreams(upstreamCount))
             load[entry.id] = {1, 70'000, 0};
-        pair.asker->state.upstreams().setPeerLoad(VmName("third"), {load}, RuntimeClock::now());
+        pair.querier->state.upstreams().setPeerLoad(VmName("third"), {load}, RuntimeClock::now());
         pair.scheduler->peers.stop();
-        pair.ask();
+        pair.query();
         pair.advance(milliseconds(80));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
     }
@@ -251,8 +251,8 @@
         const ServiceName service("llm");
         const double before = pair.scheduler->state.upstreams().serviceRate(service).tokensPerMs();
         for (int n = 0; n < 5; ++n)
-            pair.asker->state.upstreams().recordPrefill(service, 10'000, seconds(1));
-        pair.ask();
+            pair.querier->state.upstreams().recordPrefill(service, 10'000, seconds(1));
+        pair.query();
         pair.advance(milliseconds(10));
         const double after = pair.scheduler->state.upstreams().serviceRate(service).tokensPerMs();
         CPPUNIT_ASSERT(before > 30 && after < 20);
--- a/src/peer/placementmessages.cpp
+++ b/src/peer/placementmessages.cpp
@@ -7,34 +7,34 @@
 
 namespace reachlead {
 
-std::string encodeReport(const GroupLoad &report)
+std::string encodeGroupLoad(const GroupLoad &report)
 {
     return pvt::encodePayload(report);
 }
 
-std::optional<GroupLoad> decodeReport(std::string_view payload, std::string *reason)
+std::optional<GroupLoad> decodeGroupLoad(std::string_view payload, std::string *reason)
 {
     return pvt::decodePayload<GroupLoad>(payload, reason);
 }
 
-std::string encodePlacementAsk(const PlacementAsk &ask)
+std::string encodePlacementQuery(const PlacementQuery &ask)
 {
     return pvt::encodePayload(ask);
 }
 
-std::optional<PlacementAsk> decodePlacementAsk(std::string_view payload, std::string *reason)
+std::optional<PlacementQuery> decodePlacementQuery(std::string_view payload, std::string *reason)
 {
-    return pvt::decodePayload<PlacementAsk>(payload, reason);
+    return pvt::decodePayload<PlacementQuery>(payload, reason);
 }
 
-std::string encodePlacementAnswer(const PlacementAnswer &answer)
+std::string encodePlacementReply(const PlacementReply &answer)
 {
     return pvt::encodePayload(answer);
 }
 
-std::optional<PlacementAnswer> decodePlacementAnswer(std::string_view payload, std::string *reason)
+std::optional<PlacementReply> decodePlacementReply(std::string_view payload, std::string *reason)
 {
-    return pvt::decodePayload<PlacementAnswer>(payload, reason);
+    return pvt::decodePayload<PlacementReply>(payload, reason);
 }
 
 } // namespace reachlead
--- a/src/peer/placementmessages.h
+++ b/src/peer/placementmessages.h
@@ -25,19 +25,20 @@
     std::uint64_t sequence = 0; ///< of all that this life of the gateway sends
     GroupName group;
     QueryId oldestPendingQuery = 0; ///< as in ReportedLoad
-    std::vector<TaggedLoad> load;
-    RateSample pace; ///< of the group's service, seen since the last report
-    std::vector<TaggedLimit> limits; ///< of the group's upstreams, heard lately
+    std::vector<CompactLoad> load;
+    RateSample rateSample; ///< of the group's service, seen since the last report
+    std::vector<CompactLimit> limits; ///< of the group's upstreams, heard lately
     std::vector<UpstreamId> leaving; ///< of the group's service, that said so lately
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(from, incarnation, sequence, group, oldestPendingQuery, load, pace, limits, leaving);
+        ar(from, incarnation, sequence, group, oldestPendingQuery, load, rateSample, limits,
+           leaving);
     }
 };
 
 /// A part of a prompt, short.
-struct AskedPart
+struct CompactPromptPart
 {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
@@ -46,34 +47,34 @@
 };
 
 /// Asks where a call is to be placed.
-struct PlacementAsk
+struct PlacementQuery
 {
     GroupLoad report; ///< what the asker has there already
-    QueryId number = 0;
+    QueryId queryId = 0;
     ZoneName zone; ///< of the asker
     std::string model;
-    std::vector<AskedPart> prompt;
+    std::vector<CompactPromptPart> prompt;
     /// Not to be taken: tried by this call in vain, or the asker was asked to back off.
-    std::vector<UpstreamHash> avoided;
+    std::vector<UpstreamHash> excluded;
     std::vector<UpstreamHash> failing; ///< by the asker's evidence
     std::uint32_t targetMs = 0; ///< to the first event; 0: none is promised
-    std::uint32_t leftMs = 0; ///< until the caller gives up
+    std::uint32_t timeLeftMs = 0; ///< until the caller gives up
     bool isMostUrgent = false; ///< as in Patience
-    std::uint8_t rank = 0; ///< as in Patience
+    std::uint8_t urgencyRank = 0; ///< as in Patience
     bool mayRefuse = false; ///< as in SelectionQuery
-    std::optional<ZoneSet> zones; ///< as in SelectionQuery
+    std::optional<ZoneSet> permittedZones; ///< as in SelectionQuery
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(report, number, zone, model, prompt, avoided, failing, targetMs, leftMs, isMostUrgent,
-           rank, mayRefuse, zones);
+        ar(report, queryId, zone, model, prompt, excluded, failing, targetMs, timeLeftMs,
+           isMostUrgent, urgencyRank, mayRefuse, permittedZones);
     }
 };
 
 /// Failing upstreams in one question: 64 bytes.
-inline constexpr std::size_t mostFailing = 16;
+inline constexpr std::size_t maxFailingUpstreams = 16;
 /// Upstreams that the asker backs off from, in one question: 128 bytes, about a group.
-inline constexpr std::size_t mostBackedOff = 32;
+inline constexpr std::size_t maxBackedOffUpstreams = 32;
 
 /// Where a call is to be placed.
 struct PlacedCall
@@ -93,28 +94,28 @@
     }
 };
 
-/// Answers a PlacementAsk.
-struct PlacementAnswer
+/// Answers a PlacementQuery.
+struct PlacementReply
 {
     VmName from;
-    Incarnation asker; ///< the life of the gateway that asked
-    QueryId number = 0;
+    Incarnation querier; ///< the life of the gateway that asked
+    QueryId queryId = 0;
     std::optional<PlacedCall> placed; ///< none: decide by yourself, unless it is refused
-    std::optional<std::uint32_t> comeBackMs; ///< refused until then
+    std::optional<std::uint32_t> retryAfterMs; ///< refused until then
     bool isStopping = false; ///< another gateway is to be asked from now on
 
     template <class Archive> void serialize(Archive &ar)
     {
-        ar(from, asker, number, placed, comeBackMs, isStopping);
+        ar(from, querier, queryId, placed, retryAfterMs, isStopping);
     }
 };
 
 /// Payloads without a length ahead. Decoding gives nothing with \p reason set for other bytes.
-std::string encodeReport(const GroupLoad &report);
-std::optional<GroupLoad> decodeReport(std::string_view payload, std::string *reason);
-std::string encodePlacementAsk(const PlacementAsk &ask);
-std::optional<PlacementAsk> decodePlacementAsk(std::string_view payload, std::string *reason);
-std::string encodePlacementAnswer(const PlacementAnswer &answer);
-std::optional<PlacementAnswer> decodePlacementAnswer(std::string_view payload, std::string *reason);
+std::string encodeGroupLoad(const GroupLoad &report);
+std::optional<GroupLoad> decodeGroupLoad(std::string_view payload, std::string *reason);
+std::string encodePlacementQuery(const PlacementQuery &ask);
+std::optional<PlacementQuery> decodePlacementQuery(std::string_view payload, std::string *reason);
+std::string encodePlacementReply(const PlacementReply &answer);
+std::optional<PlacementReply> decodePlacementReply(std::string_view payload, std::string *reason);
 
 } // namespace reachlead
--- a/src/peer/placementpair.h
+++ b/src/peer/placementpair.h
@@ -102,10 +102,10 @@
         const VmName first = *electScheduler(group, names);
         const VmName second = first == VmName("a") ? VmName("b") : VmName("a");
         scheduler = std::make_unique<Node>(io, first.text, otherKey);
-        asker = std::make_unique<Node>(io, second.text, "the key of this fleet");
-        const std::vector<GatewayEntry> both{scheduler->entry(), asker->entry()};
+        querier = std::make_unique<Node>(io, second.text, "the key of this fleet");
+        const std::vector<GatewayEntry> both{scheduler->entry(), querier->entry()};
         scheduler->state.gatewaysChanged({1, both});
-        asker->state.gatewaysChanged({1, both});
+        querier->state.gatewaysChanged({1, both});
     }
     ~PlacementPair()
     {
@@ -130,20 +130,20 @@
     }
 
     /// Asks at the asker; nothing while no choice is made.
-    void ask()
+    void query()
     {
         placed.reset();
-        boost::asio::co_spawn(io, askOnce(), boost::asio::detached);
+        boost::asio::co_spawn(io, queryOnce(), boost::asio::detached);
     }
-    boost::asio::awaitable<void> askOnce()
+    boost::asio::awaitable<void> queryOnce()
     {
         SelectionQuery wanted{ServiceName("llm"), "m", prompt, nullptr};
         wanted.slack = {milliseconds(600), seconds(6), false};
         wanted.mayRefuse = true;
-        PlacementResult got = co_await asker->link.select(wanted);
+        PlacementResult got = co_await querier->link.select(wanted);
         if (got.selection)
-            asker->state.upstreams().sent(got.selection->upstream, wanted, *got.selection,
-                                          RuntimeClock::now());
+            querier->state.upstreams().sent(got.selection->upstream, wanted, *got.selection,
+                                            RuntimeClock::now());
         placed = std::move(got);
     }
 
@@ -159,7 +159,7 @@
     std::vector<PromptPart> prompt{{1, 4'000}, {2, 3'000}};
     boost::asio::io_context io{1};
     std::unique_ptr<Node> scheduler;
-    std::unique_ptr<Node> asker;
+    std::unique_ptr<Node> querier;
     std::optional<PlacementResult> placed;
 };
 
--- a/src/peer/sessionserver.cpp
+++ b/src/peer/sessionserver.cpp
@@ -8,7 +8,7 @@
 #include <reachlead/apikey.h>
 #include <reachlead/log.h>
 
-#include "peer/proof.h"
+#include "peer/messageauth.h"
 
 namespace reachlead {
 
@@ -16,7 +16,7 @@
 using asio::ip::tcp;
 using asio::ip::udp;
 
-SessionServer::SessionServer(Options options, Outlets outlets)
+SessionServer::SessionServer(Options options, ActionHandlers outlets)
     : m_options(std::move(options)), m_outlets(std::move(outlets)), m_work(m_io.get_executor()),
       m_acceptor(m_io, tcp::endpoint(asio::ip::make_address(m_options.address), m_options.port)),
       m_heartbeats(m_io, udp::endpoint(asio::ip::make_address(m_options.address), 0)),
@@ -100,7 +100,7 @@
 /// Checks a router's proof before the core sees anything of it.
 bool SessionServer::belongsToFleet(SessionId session, const Hello &hello)
 {
-    const std::string text = helloText(m_ownNonces[session], m_options.vm, hello);
+    const std::string text = helloSigningInput(m_ownNonces[session], m_options.vm, hello);
     if (!m_options.keys->keys().verify(text, hello.proof)) {
         m_options.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Error, "router-not-of-the-fleet").with("router", hello.vm.text);
@@ -141,7 +141,7 @@
     if (it == m_connections.end())
         return;
     if (auto *welcome = std::get_if<Welcome>(&action.message)) {
-        const std::string text = welcomeText(m_routerNonces[action.session], *welcome);
+        const std::string text = welcomeSigningInput(m_routerNonces[action.session], *welcome);
         welcome->proof = m_options.keys->keys().sign(text);
     }
     it->second->send(action.message);
@@ -207,7 +207,7 @@
         beat.incarnation = m_options.incarnation;
         beat.sequence = m_beatSequence;
         beat.load = m_core->load(session);
-        beat.proof = m_options.keys->keys().sign(heartbeatText(beat));
+        beat.proof = m_options.keys->keys().sign(heartbeatSigningInput(beat));
         boost::system::error_code ec;
         const auto address = asio::ip::make_address(it->second->remoteAddress(), ec);
         if (ec)
--- a/src/peer/sessionserver.h
+++ b/src/peer/sessionserver.h
@@ -43,7 +43,7 @@
     };
 
     /// Where the actions for other threads go; called on the gate thread.
-    struct Outlets
+    struct ActionHandlers
     {
         std::function<void(const StartUpstreamCall &)> start;
         std::function<void(const CancelUpstreamCall &)> cancel;
@@ -51,14 +51,14 @@
         std::function<void(const ReleaseClaim &)> release;
     };
 
-    SessionServer(Options options, Outlets outlets);
+    SessionServer(Options options, ActionHandlers outlets);
     ~SessionServer();
 
     /// Runs \p change on the gate thread with the core, then does what it asks for.
     void post(std::function<void(AgentCore &)> change);
 
     /// Runs \p question on the gate thread and gives its answer.
-    template <class Answer> std::future<Answer> ask(std::function<Answer(AgentCore &)> question)
+    template <class Answer> std::future<Answer> query(std::function<Answer(AgentCore &)> question)
     {
         auto promise = std::make_shared<std::promise<Answer>>();
         post([promise, question = std::move(question)](AgentCore &core) {
@@ -89,7 +89,7 @@
     void beat();
 
     Options m_options;
-    Outlets m_outlets;
+    ActionHandlers m_outlets;
     boost::asio::io_context m_io{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     std::unique_ptr<AgentCore> m_core;
--- a/src/peer/usagelink.cpp
+++ b/src/peer/usagelink.cpp
@@ -48,10 +48,10 @@
       m_book({peers.self().vm, peers.incarnation()}, options.window),
       m_duty(m_book.self(), options.lease)
 {
-    if (!m_options.isOn)
+    if (!m_options.isEnabled)
         return;
-    m_peers.onDatagram({SealedKind::UsageAsk, SealedKind::UsageTold},
-                       [this](SealedKind kind, std::string_view message,
+    m_peers.onDatagram({PeerMessageKind::UsageQuery, PeerMessageKind::UsageReport},
+                       [this](PeerMessageKind kind, std::string_view message,
                               const udp::endpoint &from) { take(kind, message, from); });
     asio::co_spawn(io, tellLoop(), asio::detached);
     asio::co_spawn(io, dutyLoop(), asio::detached);
@@ -63,16 +63,16 @@
         m_options.counters->add(c);
 }
 
-void UsageLink::began(const AccountName &account)
+void UsageLink::callStarted(const AccountName &account)
 {
-    if (m_options.isOn)
+    if (m_options.isEnabled)
         m_book.countCall(account, m_peers.timeOfDay());
 }
 
 void UsageLink::stop()
 {
     m_stopped = true;
-    if (!m_options.isOn)
+    if (!m_options.isEnabled)
         return;
     tellCollectors(true);
     m_platform->stop();
@@ -85,20 +85,20 @@
 void UsageLink::refreshOthers()
 {
     m_others.clear();
-    std::ranges::transform(m_peers.livesHeard(lifeAge), std::inserter(m_others, m_others.end()),
-                           &GatewayIncarnation::vm);
+    std::ranges::transform(m_peers.recentIncarnations(livenessTimeout),
+                           std::inserter(m_others, m_others.end()), &GatewayIncarnation::vm);
     m_rank = rendezvousPosition(m_book.self().vm, m_others);
 }
 
 void UsageLink::tell(const udp::endpoint &to, const WindowUsage &usage)
 {
-    m_peers.sendTo(to, SealedKind::UsageTold, pvt::encodePayload(usage));
+    m_peers.sendTo(to, PeerMessageKind::UsageReport, pvt::encodePayload(usage));
 }
 
 /// Tells this gateway's collectors what it counted since it last told them.
 void UsageLink::tellCollectors(bool isLast)
 {
-    const std::vector<VmName> first = rendezvousPeers(m_book.self().vm, m_others, collectors);
+    const std::vector<VmName> first = rendezvousPeers(m_book.self().vm, m_others, collectorCount);
     if (std::exchange(m_toldTo, first) != first)
         m_told.clear();
     const std::map<VmName, GatewayEntry> fleet = m_peers.fleet();
@@ -112,7 +112,7 @@
             continue;
         for (const VmName &vm : first) {
             if (const auto it = fleet.find(vm); it != fleet.end())
-                m_peers.sendTo(it->second.address, SealedKind::UsageTold,
+                m_peers.sendTo(it->second.address, PeerMessageKind::UsageReport,
                                pvt::encodePayload(usage));
         }
     }
@@ -124,7 +124,7 @@
     Timer timer(m_io);
     while (!m_stopped) {
         boost::system::error_code ec;
-        timer.expires_after(tellInterval);
+        timer.expires_after(reportInterval);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
         if (m_stopped)
             co_return;
@@ -136,11 +136,11 @@
     }
 }
 
-void UsageLink::take(SealedKind kind, std::string_view message, const udp::endpoint &from)
+void UsageLink::take(PeerMessageKind kind, std::string_view message, const udp::endpoint &from)
 {
     std::string reason;
-    if (kind == SealedKind::UsageAsk) {
-        if (const auto ask = pvt::decodePayload<UsageAsk>(message, &reason))
+    if (kind == PeerMessageKind::UsageQuery) {
+        if (const auto ask = pvt::decodePayload<UsageQuery>(message, &reason))
             takeAsk(*ask, from);
     } else if (const auto told = pvt::decodePayload<WindowUsage>(message, &reason)) {
         m_book.merge(*told);
@@ -150,10 +150,10 @@
 }
 
 /// Answers with this gateway's counts, and with those of gateways that can no longer answer.
-void UsageLink::takeAsk(const UsageAsk &ask, const udp::endpoint &from)
+void UsageLink::takeAsk(const UsageQuery &ask, const udp::endpoint &from)
 {
     tell(from, m_book.ownUsage(ask.window, m_peers.timeOfDay()));
-    const std::set<GatewayIncarnation> live = m_peers.livesHeard(GatewayPeers::peerLimit);
+    const std::set<GatewayIncarnation> live = m_peers.recentIncarnations(GatewayPeers::peerTimeout);
     for (const WindowUsage &usage : m_book.exitedUsage(live, ask.window))
         tell(from, usage);
 }
@@ -165,10 +165,10 @@
     if (!isFirst && now < it->second.last + askAgain)
         return;
     it->second.last = now;
-    const std::string payload = pvt::encodePayload(UsageAsk{window});
+    const std::string payload = pvt::encodePayload(UsageQuery{window});
     for (const auto &[vm, entry] : m_peers.fleet()) {
         if (vm != m_book.self().vm)
-            m_peers.sendTo(entry.address, SealedKind::UsageAsk, payload);
+            m_peers.sendTo(entry.address, PeerMessageKind::UsageQuery, payload);
     }
 }
 
@@ -178,10 +178,10 @@
     const auto it = m_asked.find(window);
     if (it == m_asked.end())
         return false;
-    return it->second.first + askLimit <= RuntimeClock::now()
-        || std::ranges::all_of(m_peers.livesHeard(lifeAge), [&](const GatewayIncarnation &life) {
-               return m_book.isFinal(life, window);
-           });
+    return it->second.first + queryTimeout <= RuntimeClock::now()
+        || std::ranges::all_of(
+               m_peers.recentIncarnations(livenessTimeout),
+               [&](const GatewayIncarnation &life) { return m_book.isFinal(life, window); });
 }
 
 // The duty
@@ -224,7 +224,7 @@
         const bool rests = RuntimeClock::now() < m_restUntil;
         if (m_stopped || rests || m_peers.timeOfDay() == 0)
             continue;
-        if (!m_duty.isHolder() && m_rank >= mostCandidates)
+        if (!m_duty.isHolder() && m_rank >= maxCandidates)
             continue;
         UsageAction action = nextAction();
         co_await perform(std::move(action));
@@ -286,7 +286,7 @@
     if (answer.result != UsageResult::Done) {
         count(Counter::UsageSendsFailed);
         noteFailure("send", answer);
-        if (++m_failures >= mostFailures && !m_others.empty()) {
+        if (++m_failures >= maxFailures && !m_others.empty()) {
             m_restUntil = RuntimeClock::now() + m_options.window + standbyDelay + m_options.lease;
             m_failures = 0;
         }
@@ -301,7 +301,7 @@
         .with("accounts", record.counts.size())
         .with("calls", callsOf(record.counts))
         .with("age_ms", m_peers.timeOfDay() - m_book.windowEnd(record.window))
-        .with("gateways", m_peers.livesHeard(lifeAge).size() + 1);
+        .with("gateways", m_peers.recentIncarnations(livenessTimeout).size() + 1);
 }
 
 void UsageLink::noteFailure(std::string_view step, const UsageReply &answer)
--- a/src/peer/usagelink.h
+++ b/src/peer/usagelink.h
@@ -25,7 +25,7 @@
 namespace reachlead {
 
 /// Asks for a window's counts.
-struct UsageAsk
+struct UsageQuery
 {
     WindowNumber window = 0;
 
@@ -40,7 +40,7 @@
 public:
     struct Options
     {
-        bool isOn = false;
+        bool isEnabled = false;
         Duration window = seconds(5); ///< that a report is of; multiples of it since 1970
         Duration lease = seconds(3); ///< in which no two gateways may hold the duty by turns
         Counters *counters = nullptr; ///< must outlive the link; null: nothing is counted
@@ -50,21 +50,21 @@
               std::unique_ptr<UsagePlatform> platform);
 
     /// A call of an account began to run about now.
-    void began(const AccountName &account);
+    void callStarted(const AccountName &account);
 
     /// Ends the duty; what was counted is told to those that stay.
     void stop();
 
-    const UsageReporter &duty() const { return m_duty; }
+    const UsageReporter &reporter() const { return m_duty; }
 
     /// Gateways that may become the holder, by rank: enough that some of them live and reach the
     /// store whatever fails together. Each reads the record once a window.
-    static constexpr std::size_t mostCandidates = 6;
+    static constexpr std::size_t maxCandidates = 6;
     /// Gateways that hear of a gateway's counts before a window ends.
-    static constexpr std::size_t collectors = 3;
+    static constexpr std::size_t collectorCount = 3;
     /// Between two tellings to the collectors: a gateway that is killed takes less than this of its
     /// counts with it.
-    static constexpr Duration tellInterval = milliseconds(500);
+    static constexpr Duration reportInterval = milliseconds(500);
     /// From a window's end until its holder asks for counts: they have settled by then.
     static constexpr Duration holderDelay = UsageTable::settleTime + milliseconds(100);
     /// From a window's end until the first other candidate looks whether it was reported, and from
@@ -72,12 +72,12 @@
     static constexpr Duration standbyDelay = milliseconds(2500);
     static constexpr Duration standbyStep = milliseconds(700);
     /// A gateway that has not told its counts this long after it was asked is not waited for.
-    static constexpr Duration askLimit = milliseconds(1000);
+    static constexpr Duration queryTimeout = milliseconds(1000);
     /// A gateway that was not heard for this long is not waited for: some rounds of beats.
-    static constexpr Duration lifeAge = milliseconds(3000);
+    static constexpr Duration livenessTimeout = milliseconds(3000);
     /// Reports in a row that fail until the holder leaves the duty to others, for long enough that
     /// they come to the next window first: the platform may be out of reach for this VM alone.
-    static constexpr unsigned mostFailures = 3;
+    static constexpr unsigned maxFailures = 3;
 
 private:
     struct Asked
@@ -99,9 +99,9 @@
     void ask(WindowNumber window);
     void tellCollectors(bool isLast);
     void tell(const boost::asio::ip::udp::endpoint &to, const WindowUsage &usage);
-    void take(SealedKind kind, std::string_view message,
+    void take(PeerMessageKind kind, std::string_view message,
               const boost::asio::ip::udp::endpoint &from);
-    void takeAsk(const UsageAsk &ask, const boost::asio::ip::udp::endpoint &from);
+    void takeAsk(const UsageQuery &ask, const boost::asio::ip::udp::endpoint &from);
     void noteFailure(std::string_view step, const UsageReply &answer);
     void noteHolder();
     void count(Counter c);
--- a/src/peer/usagelink_test.cpp
+++ b/src/peer/usagelink_test.cpp
@@ -108,10 +108,10 @@
     struct Node
     {
         Node(boost::asio::io_context &io, UsageWorld &world, const std::string &vm,
-             std::vector<Endpoint> seeds, bool isOn)
+             std::vector<Endpoint> seeds, bool isEnabled)
             : world(world), state(stateOptions(vm)),
               peers(io, peerOptions(vm, std::move(seeds)), state),
-              link(io, linkOptions(isOn), peers,
+              link(io, linkOptions(isEnabled), peers,
                    std::make_unique<UsagePlatformStandin>(world, VmName(vm)))
         { }
 
@@ -128,10 +128,10 @@
             made.seeds = std::move(seeds);
             return made;
         }
-        static UsageLink::Options linkOptions(bool isOn)
+        static UsageLink::Options linkOptions(bool isEnabled)
         {
             UsageLink::Options made;
-            made.isOn = isOn;
+            made.isEnabled = isEnabled;
             made.window = window;
             return made;
         }
@@ -154,12 +154,12 @@
     /// Three gateways that know of each other.
     struct Fleet
     {
-        explicit Fleet(bool isOn = true)
+        explicit Fleet(bool isEnabled = true)
         {
             RuntimeClock::pause(start);
             std::vector<Endpoint> seeds;
             for (const char *vm : {"g1", "g2", "g3"}) {
-                nodes.push_back(std::make_unique<Node>(io, world, vm, seeds, isOn));
+                nodes.push_back(std::make_unique<Node>(io, world, vm, seeds, isEnabled));
                 seeds.push_back({"127.0.0.1", nodes.back()->peers.port()});
             }
             advance(seconds(2));
@@ -191,15 +191,15 @@
                 if (node->isDead)
                     continue;
                 for (std::uint32_t it = 0; it < n; ++it)
-                    node->link.began(AccountName("t"));
-                node->link.began(AccountName("u"));
+                    node->link.callStarted(AccountName("t"));
+                node->link.callStarted(AccountName("u"));
             }
         }
 
         Node *holder()
         {
             const auto it = std::ranges::find_if(nodes, [](const auto &node) {
-                return !node->isDead && node->link.duty().isHolder();
+                return !node->isDead && node->link.reporter().isHolder();
             });
             return it == nodes.end() ? nullptr : it->get();
         }
@@ -242,7 +242,7 @@
     {
         Fleet fleet;
         fleet.call(2);
-        fleet.advance(UsageLink::tellInterval * 2);
+        fleet.advance(UsageLink::reportInterval * 2);
         fleet.nodes[0]->die();
         fleet.advance(window * 2);
         CPPUNIT_ASSERT_EQUAL(6U, fleet.reported("t"));
@@ -266,7 +266,7 @@
         Node *first = fleet.holder();
         CPPUNIT_ASSERT(first != nullptr);
         fleet.call(1);
-        fleet.advance(UsageLink::tellInterval * 2);
+        fleet.advance(UsageLink::reportInterval * 2);
         first->die();
         fleet.advance(window + seconds(8));
         CPPUNIT_ASSERT(fleet.holder() != nullptr);
--- a/src/reachlead-agent/agentdaemon.cpp
+++ b/src/reachlead-agent/agentdaemon.cpp
@@ -61,7 +61,7 @@
     m_upstream = std::make_unique<UpstreamClient>(m_settings.upstream, [this] {
         m_sessions->post([this](AgentCore &core) { takeUpstreamEvents(core); });
     });
-    SessionServer::Outlets outlets;
+    SessionServer::ActionHandlers outlets;
     outlets.start = [this](const StartUpstreamCall &call) { m_upstream->start(call); };
     outlets.cancel = [this](const CancelUpstreamCall &call) { m_upstream->cancel(call); };
     outlets.claim = [this](const MakeClaim &c) { claim(c); };
@@ -98,7 +98,7 @@
     ClaimWriter::Options options;
     options.target = m_settings.sessions.target;
     options.service = *m_settings.platform;
-    options.callLimit = m_settings.platformLimit;
+    options.callTimeout = m_settings.platformLimit;
     options.counters = &m_counters;
     m_claims = std::make_unique<ClaimWriter>(options, [this](const ClaimCompleted &ended) {
         m_sessions->post([ended](AgentCore &core) {
@@ -131,7 +131,7 @@
     const auto limit = RuntimeClock::now() + m_settings.stopLimit;
     bool idle = false;
     while (!idle && RuntimeClock::now() < limit) {
-        idle = m_sessions->ask<bool>([](AgentCore &core) { return core.idle(); }).get();
+        idle = m_sessions->query<bool>([](AgentCore &core) { return core.idle(); }).get();
         if (!idle)
             std::this_thread::sleep_for(stopPoll);
     }
@@ -162,7 +162,7 @@
 std::string AgentDaemon::status()
 {
     const Load load =
-        m_sessions->ask<Load>([](AgentCore &core) { return core.load(std::nullopt); }).get();
+        m_sessions->query<Load>([](AgentCore &core) { return core.load(std::nullopt); }).get();
     return json::serialize(json::object{{"vm", m_settings.sessions.vm.text},
                                         {"zone", m_settings.sessions.zone.text},
                                         {"role", "agent"},
--- a/src/reachlead-agent/agentsettings.cpp
+++ b/src/reachlead-agent/agentsettings.cpp
@@ -40,7 +40,7 @@
         .takeDuration("reattach_grace", milliseconds(100), seconds(60),
                       &sessions.tuning.reattachGrace)
         .takeDuration("stop_limit", seconds(1), seconds(3600), &out->stopLimit);
-    if (auto fault = finishWithEndpoint(file, reader, "agent", "listen", &listen))
+    if (auto fault = readEndpoint(file, reader, "agent", "listen", &listen))
         return fault;
     if (model.empty() == service.empty())
         return fmt::format("{}: section 'agent': expected one of 'model' and 'service'",
@@ -87,10 +87,10 @@
 {
     IniReader reader(file, "upstream");
     reader.require("endpoint")
-        .takeDuration("connect_limit", milliseconds(10), seconds(60), &upstream.connectLimit)
-        .takeDuration("stall_limit", milliseconds(100), seconds(600), &upstream.stallLimit)
-        .takeDuration("service_limit", milliseconds(100), seconds(3600), &upstream.serviceLimit);
-    return finishWithEndpoint(file, reader, "upstream", "endpoint", &upstream.upstream);
+        .takeDuration("connect_limit", milliseconds(10), seconds(60), &upstream.connectTimeout)
+        .takeDuration("stall_limit", milliseconds(100), seconds(600), &upstream.stallTimeout)
+        .takeDuration("service_limit", milliseconds(100), seconds(3600), &upstream.serviceTimeout);
+    return readEndpoint(file, reader, "upstream", "endpoint", &upstream.upstream);
 }
 
 std::optional<std::string> AgentSettings::readPlatform(const IniFile &file)
@@ -99,7 +99,7 @@
     Endpoint endpoint;
     const bool given = reader.has("service");
     reader.takeDuration("call_limit", milliseconds(10), seconds(60), &platformLimit);
-    auto fault = finishWithEndpoint(file, reader, "platform", "service", &endpoint);
+    auto fault = readEndpoint(file, reader, "platform", "service", &endpoint);
     if (given)
         platform = endpoint;
     return fault;
--- a/src/reachlead-gateway/gatewaydaemon.cpp
+++ b/src/reachlead-gateway/gatewaydaemon.cpp
@@ -62,18 +62,19 @@
 } // namespace
 
 GatewayDaemon::GatewayDaemon(const GatewaySettings &settings, const HeaderCodec &headerCodec,
-                             const MakeSource &source, const MakeUsagePlatform &usagePlatform,
+                             const SourceFactory &source, const UsagePlatformFactory &usagePlatform,
                              Reload reload)
     : m_settings(settings), m_headerCodec(headerCodec), m_signals(m_io, SIGTERM, SIGINT, SIGHUP),
-      m_state(settings.state), m_shared{m_io,       m_state,     headerCodec,
-                                        m_counters, m_latencies, UpstreamPool(m_io.get_executor())},
+      m_state(settings.state),
+      m_shared{m_io,       m_state,     headerCodec,
+               m_counters, m_latencies, ConnectionPool(m_io.get_executor())},
       m_forwarder(settings.forwarder, m_shared),
       m_peers(m_io, peerOptions(settings, &m_counters), m_state),
       m_crashes(m_state, m_peers, &m_counters,
                 [this](const QuarantinedRequest &request) { m_source->publish(request); }),
       m_crashWatch(m_io, m_shared.pool, m_state, m_counters,
                    [this](const RequestDigest &request, const UpstreamId &upstream) {
-                       m_crashes.ended(request, upstream);
+                       m_crashes.upstreamCrashed(request, upstream);
                    }),
       m_placement(m_io, placementOptions(settings, &m_counters), m_state, m_peers),
       m_usage(m_io, usageOptions(settings, &m_counters), m_peers, usagePlatform(m_io)),
@@ -84,12 +85,16 @@
       m_source(source(m_io, &m_counters)), m_reload(std::move(reload))
 {
     (void)std::signal(SIGPIPE, SIG_IGN);
-    m_shared.adviser = &m_placement;
-    m_shared.crashes = &m_crashWatch;
-    m_shared.cleared = [this](const RequestDigest &request) { m_crashes.completed(request); };
-    m_shared.began = [this](const AccountName &account) { m_usage.began(account); };
+    m_shared.selector = &m_placement;
+    m_shared.crashDetector = &m_crashWatch;
+    m_shared.onRequestCleared = [this](const RequestDigest &request) {
+        m_crashes.requestCompleted(request);
+    };
+    m_shared.onExecutionStarted = [this](const AccountName &account) {
+        m_usage.callStarted(account);
+    };
     m_state.onUpstreamsWithdrawn([this](const std::vector<UpstreamId> &left) {
-        std::ranges::for_each(left, [this](const UpstreamId &id) { m_shared.pool.forget(id); });
+        std::ranges::for_each(left, [this](const UpstreamId &id) { m_shared.pool.closeIdle(id); });
     });
     m_state.onChange([this] { m_peers.announce(); });
     m_source->start(&m_state, m_peers.self());
@@ -159,7 +164,7 @@
     while (m_forwarder.openConnections() > 0 && RuntimeClock::now() < limit)
         co_await sleepFor(m_io, stopLook);
     const std::size_t cut = m_forwarder.openConnections();
-    m_forwarder.giveUpCalls();
+    m_forwarder.terminateCalls();
     if (cut > 0)
         co_await sleepFor(m_io, lastAnswers);
     m_forwarder.abortAll();
@@ -190,7 +195,7 @@
 /// Takes or gives up the duty to watch the store, and what comes with it.
 void GatewayDaemon::followPlatform()
 {
-    const std::set<VmName> heard = m_peers.heard();
+    const std::set<VmName> heard = m_peers.livePeers();
     const bool watches = m_state.shouldWatch(heard);
     m_source->setWatching(watches);
     m_source->setServedByPeers(m_state.isReady() && m_state.isConfirmed());
@@ -200,8 +205,8 @@
     Roster known;
     for (const GatewayEntry &entry : m_state.roster().gateways)
         known.emplace(entry.vm, entry);
-    const auto roster =
-        m_roster.rosterToWrite(known, m_peers.live(), rendezvousPosition(m_state.vm(), heard), now);
+    const auto roster = m_roster.rosterToWrite(known, m_peers.liveGateways(),
+                                               rendezvousPosition(m_state.vm(), heard), now);
     if (!roster)
         return;
     GatewayRoster made{m_state.roster().revision, {}};
--- a/src/reachlead-gateway/gatewaydaemon.h
+++ b/src/reachlead-gateway/gatewaydaemon.h
@@ -16,7 +16,7 @@
 #include <reachlead/http.h>
 #include <reachlead/rosterpublisher.h>
 
-#include "forward/crashwatch.h"
+#include "forward/crashdetector.h"
 #include "forward/forwarder.h"
 #include "gatewaysettings.h"
 #include "peer/crashlink.h"
@@ -31,14 +31,15 @@
 class GatewayDaemon
 {
 public:
-    using MakeSource =
+    using SourceFactory =
         std::function<std::unique_ptr<FleetSource>(boost::asio::io_context &, Counters *)>;
-    using MakeUsagePlatform =
+    using UsagePlatformFactory =
         std::function<std::unique_ptr<UsagePlatform>(boost::asio::io_context &)>;
     using Reload = std::function<std::optional<GatewaySettings>()>;
 
     GatewayDaemon(const GatewaySettings &settings, const HeaderCodec &headerCodec,
-                  const MakeSource &source, const MakeUsagePlatform &usagePlatform, Reload reload);
+                  const SourceFactory &source, const UsagePlatformFactory &usagePlatform,
+                  Reload reload);
 
     /// Serves until it is told to stop, and then until all work has ended.
     void run();
@@ -59,11 +60,11 @@
     Counters m_counters;
     LatencyHistograms m_latencies;
     GatewayState m_state;
-    ForwardShared m_shared;
+    ForwardContext m_shared;
     Forwarder m_forwarder;
     GatewayPeers m_peers;
     CrashLink m_crashes;
-    CrashWatch m_crashWatch;
+    CrashDetector m_crashWatch;
     PlacementLink m_placement;
     UsageLink m_usage;
     HttpServer m_ready;
--- a/src/reachlead-gateway/gatewaysettings.cpp
+++ b/src/reachlead-gateway/gatewaysettings.cpp
@@ -79,7 +79,7 @@
     const std::int64_t byMemory = memoryMb / 2 * connectionsPerMb;
     const std::int64_t most =
         std::max(fewestConnections, std::min(byMemory, descriptors - descriptorsKept));
-    forwarder.mostConnections = static_cast<std::size_t>(most);
+    forwarder.maxConnections = static_cast<std::size_t>(most);
     peers.self.vm = state.vm;
     peers.self.cores = static_cast<MilliCores>(cores * 1000.0);
     return takeEndpoints(file, reader, "gateway",
@@ -104,7 +104,7 @@
     std::vector<std::string> seeds;
     std::vector<std::string> keys;
     std::int64_t port = 0;
-    double beatMs = toMillis(peers.beats.interval);
+    double beatMs = toMillis(peers.heartbeats.interval);
     double configMs = 2000.0;
     double leaveMs = configMs;
     IniReader reader(file, "peers");
@@ -113,8 +113,8 @@
         .takeNumber("beat_ms", 50.0, 10'000.0, &beatMs)
         .takeNumber("config_bound_ms", 100.0, 600'000.0, &configMs)
         .takeNumber("leave_bound_ms", 100.0, 600'000.0, &leaveMs)
-        .takeNumber("bytes_per_s", 1.0, 1e9, &peers.beats.bytesPerSecond);
-    peers.beats.interval = fromSeconds(beatMs / 1000.0);
+        .takeNumber("bytes_per_s", 1.0, 1e9, &peers.heartbeats.bytesPerSecond);
+    peers.heartbeats.interval = fromSeconds(beatMs / 1000.0);
     if (reader.has("seeds"))
         reader.takeList("seeds", &seeds);
     if (reader.has("keys"))
@@ -164,7 +164,7 @@
     auto shortPrompt = static_cast<std::int64_t>(costs.maxShortPromptTokens);
     auto strategy = static_cast<std::size_t>(costs.strategy);
     auto groupSize = static_cast<std::int64_t>(state.groupSize);
-    double answerMs = toMillis(placement.answerLimit);
+    double answerMs = toMillis(placement.replyTimeout);
     double reportMs = toMillis(placement.reportInterval);
     double holdMs = toMillis(placement.lessUrgentHold);
     IniReader reader(file, "placement");
@@ -183,8 +183,8 @@
         .takeNumber("short_outside_ms", 0.0, longest, &costs.shortOutsideDedicated)
         .takeNumber("long_in_quiet_ms", 0.0, longest, &costs.longInDedicated)
         .takeNumber("other_group_ms", 0.0, longest, &costs.crossGroup)
-        .takeFlag("group_scheduler", &placement.isOn)
-        .takeFlag("group_scheduler_for_plain", &placement.plainCalls)
+        .takeFlag("group_scheduler", &placement.isEnabled)
+        .takeFlag("group_scheduler_for_plain", &placement.schedulesPlainCalls)
         .takeInteger("group_size", 1, 1'000'000, &groupSize)
         .takeNumber("answer_limit_ms", 1.0, 1000.0, &answerMs)
         .takeNumber("report_ms", 10.0, 1000.0, &reportMs)
@@ -198,7 +198,7 @@
     costs.strategy = static_cast<UpstreamTable::Strategy>(strategy);
     costs.maxShortPromptTokens = static_cast<TokenCount>(shortPrompt);
     state.groupSize = static_cast<std::size_t>(groupSize);
-    placement.answerLimit = fromSeconds(answerMs / 1000.0);
+    placement.replyTimeout = fromSeconds(answerMs / 1000.0);
     placement.reportInterval = fromSeconds(reportMs / 1000.0);
     placement.lessUrgentHold = fromSeconds(holdMs / 1000.0);
     return reader.finish();
@@ -228,7 +228,7 @@
     reader.takeList("duties", &duties)
         .takeNumber("window_s", 0.1, 86'400.0, &windowSeconds)
         .takeNumber("lease_ms", 100.0, 600'000.0, &leaseMs);
-    usage.isOn = std::ranges::find(duties, duty) != duties.end();
+    usage.isEnabled = std::ranges::find(duties, duty) != duties.end();
     usage.window = fromSeconds(windowSeconds);
     usage.lease = fromSeconds(leaseMs / 1000.0);
     return takeEndpoints(file, reader, "usage", {{"api", &usageApi}});
--- a/src/reachlead-gateway/main.cpp
+++ b/src/reachlead-gateway/main.cpp
@@ -13,7 +13,7 @@
 #include "gatewaydaemon.h"
 #include "operators/daemon.h"
 #include "platform/headers.h"
-#include "platform/source.h"
+#include "platform/platformsource.h"
 #include "platform/usageapi.h"
 
 int main(int argc, char **argv)
--- a/src/reachlead-load/httpload.cpp
+++ b/src/reachlead-load/httpload.cpp
@@ -14,7 +14,7 @@
 #include <fmt/format.h>
 
 #include "reachlead-standin/answer.h"
-#include "upstream/enginecall.h"
+#include "upstream/enginejson.h"
 #include "upstream/sse.h"
 #include "upstream/ssecall.h"
 
@@ -152,12 +152,12 @@
     ++m_report.started;
     ++m_open;
     const std::string prompt = fmt::format("load {}-{} #{}", m_plan.seed, number, m_plan.tokens);
-    const std::string expected = standin::wholeAnswer(standin::planAnswer(prompt));
+    const std::string expected = standin::completeText(standin::planAnswer(prompt));
     SseCall call(m_io.get_executor(), m_plan.targets[number % m_plan.targets.size()], {});
     std::string reason = co_await call.connect();
     if (reason.empty()) {
         HttpRequest ask = askFor(prompt);
-        reason = co_await call.ask(std::move(ask));
+        reason = co_await call.send(std::move(ask));
     }
     std::string text;
     bool done = false;
@@ -175,8 +175,8 @@
                 break;
             const auto events = decoder.feed(bytes);
             for (const std::string &data : events.value_or(std::vector<std::string>())) {
-                EngineEvent event = readEngineEvent(data);
-                if (event.kind == EngineEvent::Kind::Broken)
+                EngineEvent event = parseEngineEvent(data);
+                if (event.kind == EngineEvent::Kind::Malformed)
                     ++m_report.refused[kindIn(data)];
                 done = done || event.kind == EngineEvent::Kind::Done;
                 if (event.kind != EngineEvent::Kind::Text)
@@ -190,7 +190,7 @@
                 ++m_report.tokens;
             }
         }
-        note(text, expected, done && call.ended());
+        note(text, expected, done && call.isComplete());
     }
     --m_open;
 }
--- a/src/reachlead-load/policyrig_store.cpp
+++ b/src/reachlead-load/policyrig_store.cpp
@@ -99,7 +99,7 @@
     if (record.ends.empty() && !record.hungUp)
         return fmt::format("{} ({}, {} tokens of {}): never told a final word", who,
                            record.ask.cls.text, record.tokens, record.plan.tokens);
-    const std::string expected = standin::wholeAnswer(record.plan);
+    const std::string expected = standin::completeText(record.plan);
     if (!expected.starts_with(record.text))
         return fmt::format("{}: got text that is not of its own answer", who);
     const auto it = starts.find(id);
