--- a/src/reachlead-router/routerdaemon.cpp
+++ b/src/reachlead-router/routerdaemon.cpp
@@ -53,14 +53,15 @@
     // the settings have, and those come last.
     m_dispatcher = std::make_unique<Dispatcher>(
         m_settings.dispatcher,
-        [this](AnswerChannelPtr slot) { m_callers->announce(std::move(slot)); },
+        [this](AnswerChannelPtr slot) { m_callers->notifyReady(std::move(slot)); },
         [this](std::vector<TargetName> targets) { m_callers->setTargets(std::move(targets)); });
     m_callers = std::make_unique<CallerServer>(
         m_settings.callers,
-        CallerHooks{[this](Tier tier, CallerRequest request, AnswerChannelPtr slot) {
-                        return m_dispatcher->submit(tier, std::move(request), std::move(slot));
-                    },
-                    [this](const AnswerChannelPtr &slot) { m_dispatcher->look(slot); }});
+        CallerHooks{
+            [this](Tier tier, CallerRequest request, AnswerChannelPtr slot) {
+                return m_dispatcher->submit(tier, std::move(request), std::move(slot));
+            },
+            [this](const AnswerChannelPtr &slot) { m_dispatcher->callerStateChanged(slot); }});
     m_follower = std::make_unique<PlatformFollower>(
         m_settings.platform,
         [this](const PoliciesPtr &policies) {
@@ -120,7 +121,7 @@
 
 std::string RouterDaemon::status()
 {
-    auto asked = m_dispatcher->ask<std::pair<std::vector<AgentStatus>, std::size_t>>(
+    auto asked = m_dispatcher->query<std::pair<std::vector<AgentStatus>, std::size_t>>(
         [](RouterCore &core) { return std::pair(core.agents(), core.openRequests()); });
     const auto [agents, open] = asked.get();
     const PlatformFollower::Status settings = m_follower->status();
@@ -141,7 +142,7 @@
 
 std::string RouterDaemon::route(const std::string &target)
 {
-    auto asked = m_dispatcher->ask<std::vector<RouteCandidate>>([target](RouterCore &core) {
+    auto asked = m_dispatcher->query<std::vector<RouteCandidate>>([target](RouterCore &core) {
         return core.explain(TargetName(target), RuntimeClock::now());
     });
     json::array list;
--- a/src/reachlead-router/routersettings.cpp
+++ b/src/reachlead-router/routersettings.cpp
@@ -49,35 +49,36 @@
 
 std::optional<std::string> RouterSettings::readCallers(const IniFile &file)
 {
-    auto mostOpen = static_cast<std::int64_t>(callers.mostOpen);
-    auto mostConnections = static_cast<std::int64_t>(callers.mostConnections);
-    auto largestBody = static_cast<std::int64_t>(callers.largestBody);
+    auto mostOpen = static_cast<std::int64_t>(callers.maxOpenRequests);
+    auto mostConnections = static_cast<std::int64_t>(callers.maxConnections);
+    auto largestBody = static_cast<std::int64_t>(callers.maxBodyBytes);
     IniReader reader(file, "callers");
     reader.require("listen")
         .takeInteger("most_open", 10, 1'000'000, &mostOpen)
         .takeInteger("most_connections", 10, 1'000'000, &mostConnections)
         .takeInteger("largest_body", 1024, static_cast<std::int64_t>(maxFrameBytes / 2),
                      &largestBody)
-        .takeDuration("header_time", milliseconds(100), seconds(600), &callers.headerTime)
-        .takeDuration("body_time", milliseconds(100), seconds(600), &callers.bodyTime)
-        .takeDuration("idle_time", milliseconds(100), seconds(3600), &callers.idleTime)
-        .takeDuration("write_time", milliseconds(100), seconds(600), &callers.writeTime);
-    callers.mostOpen = static_cast<std::size_t>(mostOpen);
-    callers.mostConnections = static_cast<std::size_t>(mostConnections);
-    callers.largestBody = static_cast<std::uint64_t>(largestBody);
-    dispatcher.mostOpen = callers.mostOpen;
-    return finishWithEndpoint(file, reader, "callers", "listen", &callers.listen);
+        .takeDuration("header_time", milliseconds(100), seconds(600), &callers.headerTimeout)
+        .takeDuration("body_time", milliseconds(100), seconds(600), &callers.bodyTimeout)
+        .takeDuration("idle_time", milliseconds(100), seconds(3600), &callers.idleTimeout)
+        .takeDuration("write_time", milliseconds(100), seconds(600), &callers.writeTimeout);
+    callers.maxOpenRequests = static_cast<std::size_t>(mostOpen);
+    callers.maxConnections = static_cast<std::size_t>(mostConnections);
+    callers.maxBodyBytes = static_cast<std::uint64_t>(largestBody);
+    dispatcher.maxOpenRequests = callers.maxOpenRequests;
+    return readEndpoint(file, reader, "callers", "listen", &callers.listen);
 }
 
 std::optional<std::string> RouterSettings::readPlatform(const IniFile &file)
 {
     IniReader reader(file, "platform");
     reader.require("service")
-        .takeDuration("call_limit", milliseconds(10), seconds(60), &platform.callLimit)
-        .takeDuration("watch_wait", milliseconds(100), seconds(300), &platform.watchWait)
-        .takeDuration("member_interval", milliseconds(50), seconds(60), &platform.memberInterval)
-        .takeDuration("longest_pause", milliseconds(50), seconds(60), &platform.longestPause);
-    return finishWithEndpoint(file, reader, "platform", "service", &platform.service);
+        .takeDuration("call_limit", milliseconds(10), seconds(60), &platform.callTimeout)
+        .takeDuration("watch_wait", milliseconds(100), seconds(300), &platform.watchTimeout)
+        .takeDuration("member_interval", milliseconds(50), seconds(60),
+                      &platform.memberPollInterval)
+        .takeDuration("longest_pause", milliseconds(50), seconds(60), &platform.maxRetryDelay);
+    return readEndpoint(file, reader, "platform", "service", &platform.service);
 }
 
 std::optional<std::string> RouterSettings::readOperatorsSection(const IniFile &file)
--- a/src/reachlead-router/routersettings.h
+++ b/src/reachlead-router/routersettings.h
@@ -12,7 +12,7 @@
 #include <reachlead/inifile.h>
 
 #include "caller/callerserver.h"
-#include "objectapi/follower.h"
+#include "objectapi/platformfollower.h"
 #include "operators/adminserver.h"
 #include "peer/dispatcher.h"
 
--- a/src/reachlead-standin/answer.cpp
+++ b/src/reachlead-standin/answer.cpp
@@ -39,7 +39,7 @@
     return fmt::format("{}{:04x}", index == 0 ? "" : " ", word & 0xffffU);
 }
 
-std::string wholeAnswer(const AnswerPlan &plan)
+std::string completeText(const AnswerPlan &plan)
 {
     std::string text;
     for (std::uint64_t n = 0; n < plan.tokens; ++n)
--- a/src/reachlead-standin/answer.h
+++ b/src/reachlead-standin/answer.h
@@ -28,6 +28,6 @@
 std::string answerToken(const AnswerPlan &plan, std::uint64_t index);
 
 /// The whole text.
-std::string wholeAnswer(const AnswerPlan &plan);
+std::string completeText(const AnswerPlan &plan);
 
 } // namespace reachlead::standin
--- a/src/reachlead-standin/platformstandin.cpp
+++ b/src/reachlead-standin/platformstandin.cpp
@@ -13,7 +13,7 @@
 
 #include <reachlead/sleep.h>
 
-#include "objectapi/wire.h"
+#include "objectapi/platformjson.h"
 
 namespace reachlead::standin {
 
--- a/src/upstream/enginecall.cpp
+++ b/src/upstream/enginejson.cpp
@@ -1,7 +1,7 @@
 // Copyright Contributors to the reachlead project.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "upstream/enginecall.h"
+#include "upstream/enginejson.h"
 
 #include <boost/json.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-std::optional<std::string> engineBody(const Dispatch &dispatch)
+std::optional<std::string> engineRequestBody(const Dispatch &dispatch)
 {
     json::error_code ec;
     json::value root = json::parse(dispatch.call.body, ec);
@@ -26,7 +26,7 @@
     return json::serialize(root);
 }
 
-EngineEvent readEngineEvent(std::string_view data)
+EngineEvent parseEngineEvent(std::string_view data)
 {
     if (data == "[DONE]")
         return {EngineEvent::Kind::Done, ""};
@@ -35,12 +35,12 @@
     const json::object *object = ec ? nullptr : root.if_object();
     const json::value *choices = object ? object->if_contains("choices") : nullptr;
     if (!choices || !choices->is_array())
-        return {EngineEvent::Kind::Broken, ""};
+        return {EngineEvent::Kind::Malformed, ""};
     if (choices->get_array().empty())
         return {};
     const json::object *choice = choices->get_array()[0].if_object();
     if (!choice)
-        return {EngineEvent::Kind::Broken, ""};
+        return {EngineEvent::Kind::Malformed, ""};
     const json::value *text = choice->if_contains("text");
     if (const json::value *delta = choice->if_contains("delta"); delta && delta->is_object())
         text = delta->get_object().if_contains("content");
--- a/src/upstream/enginecall.h
+++ b/src/upstream/enginejson.h
@@ -16,17 +16,17 @@
 
 /// The body for the engine: the caller's, with streaming on, and the priority, the request id and
 /// where to resume set. Empty when the caller's body is not a JSON object.
-std::optional<std::string> engineBody(const Dispatch &dispatch);
+std::optional<std::string> engineRequestBody(const Dispatch &dispatch);
 
 /// One event of an engine's stream.
 struct EngineEvent
 {
-    enum class Kind : std::uint8_t { Text, Nothing, Done, Broken };
-    Kind kind = Kind::Nothing;
+    enum class Kind : std::uint8_t { Text, Empty, Done, Malformed };
+    Kind kind = Kind::Empty;
     std::string text;
 };
 
 /// Reads the data of one server-sent event.
-EngineEvent readEngineEvent(std::string_view data);
+EngineEvent parseEngineEvent(std::string_view data);
 
 } // namespace reachlead
--- a/src/upstream/sse.cpp
+++ b/src/upstream/sse.cpp
@@ -11,7 +11,7 @@
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         m_line += bytes.substr(0, end);
-        if (m_line.size() + m_data.size() > largestEvent)
+        if (m_line.size() + m_data.size() > maxEventBytes)
             return std::nullopt;
         if (end == std::string_view::npos)
             break;
--- a/src/upstream/sse.h
+++ b/src/upstream/sse.h
@@ -18,7 +18,7 @@
 {
 public:
     /// Bytes of one event over which the stream is given up.
-    static constexpr std::size_t largestEvent = 1U << 20U;
+    static constexpr std::size_t maxEventBytes = 1U << 20U;
 
     /// Takes bytes; gives the data of each event they complete. Empty when an event is too
     /// large; the decoder is of no use from then on.
--- a/src/upstream/sse_test.cpp
+++ b/src/upstream/sse_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
-#include "upstream/enginecall.h"
+#include "upstream/enginejson.h"
 #include "upstream/sse.h"
 
 namespace reachlead {
@@ -43,7 +43,7 @@
         const bool good = rc::check("any bytes", [](const std::string &bytes) {
             SseDecoder decoder;
             (void)decoder.feed(bytes);
-            (void)readEngineEvent(bytes);
+            (void)parseEngineEvent(bytes);
         });
         CPPUNIT_ASSERT(good);
     }
@@ -61,15 +61,15 @@
     void engineEventsAreRead()
     {
         using Kind = EngineEvent::Kind;
-        const auto chat = readEngineEvent(R"({"choices":[{"delta":{"content":"hi"}}]})");
+        const auto chat = parseEngineEvent(R"({"choices":[{"delta":{"content":"hi"}}]})");
         CPPUNIT_ASSERT(chat.kind == Kind::Text && chat.text == "hi");
-        const auto plain = readEngineEvent(R"({"choices":[{"text":"yo"}]})");
+        const auto plain = parseEngineEvent(R"({"choices":[{"text":"yo"}]})");
         CPPUNIT_ASSERT(plain.kind == Kind::Text && plain.text == "yo");
-        CPPUNIT_ASSERT(readEngineEvent("[DONE]").kind == Kind::Done);
-        CPPUNIT_ASSERT(readEngineEvent(R"({"choices":[{"delta":{}}]})").kind == Kind::Nothing);
-        CPPUNIT_ASSERT(readEngineEvent(R"({"choices":[]})").kind == Kind::Nothing);
-        CPPUNIT_ASSERT(readEngineEvent(R"({"error":"x"})").kind == Kind::Broken);
-        CPPUNIT_ASSERT(readEngineEvent("{").kind == Kind::Broken);
+        CPPUNIT_ASSERT(parseEngineEvent("[DONE]").kind == Kind::Done);
+        CPPUNIT_ASSERT(parseEngineEvent(R"({"choices":[{"delta":{}}]})").kind == Kind::Empty);
+        CPPUNIT_ASSERT(parseEngineEvent(R"({"choices":[]})").kind == Kind::Empty);
+        CPPUNIT_ASSERT(parseEngineEvent(R"({"error":"x"})").kind == Kind::Malformed);
+        CPPUNIT_ASSERT(parseEngineEvent("{").kind == Kind::Malformed);
     }
 
     void engineBodySaysWhereToResume()
@@ -77,14 +77,14 @@
         Dispatch dispatch;
         dispatch.tier = 3;
         dispatch.call.body = R"({"model":"m","prompt":"p"})";
-        CPPUNIT_ASSERT(engineBody(dispatch)->find("resume") == std::string::npos);
+        CPPUNIT_ASSERT(engineRequestBody(dispatch)->find("resume") == std::string::npos);
         dispatch.resumeFrom = 5;
         dispatch.resumeText = "so far";
-        const std::string body = *engineBody(dispatch);
+        const std::string body = *engineRequestBody(dispatch);
         CPPUNIT_ASSERT(body.find(R"("resume_from":5)") != std::string::npos);
         CPPUNIT_ASSERT(body.find(R"("priority":3)") != std::string::npos);
         dispatch.call.body = "[]";
-        CPPUNIT_ASSERT(!engineBody(dispatch));
+        CPPUNIT_ASSERT(!engineRequestBody(dispatch));
     }
 };
 
--- a/src/upstream/ssecall.cpp
+++ b/src/upstream/ssecall.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-SseCall::SseCall(const asio::any_io_executor &executor, Endpoint to, Limits limits)
+SseCall::SseCall(const asio::any_io_executor &executor, Endpoint to, Timeouts limits)
     : m_stream(executor), m_to(std::move(to)), m_limits(limits)
 {
     m_parser.body_limit(boost::none);
@@ -38,7 +38,7 @@
     co_return std::string();
 }
 
-asio::awaitable<std::string> SseCall::ask(HttpRequest ask)
+asio::awaitable<std::string> SseCall::send(HttpRequest ask)
 {
     http::request<http::string_body> request(http::string_to_verb(ask.method), ask.path, 11);
     request.set(http::field::host, m_to.text());
@@ -47,7 +47,7 @@
         request.set(header.name, header.value);
     request.body() = std::move(ask.body);
     request.prepare_payload();
-    m_stream.expires_after(m_limits.silence);
+    m_stream.expires_after(m_limits.read);
     const auto [writeError, n] = co_await http::async_write(m_stream, request, quietly);
     if (writeError)
         co_return writeError.message();
@@ -66,7 +66,7 @@
     while (!m_parser.is_done()) {
         m_parser.get().body().data = m_bytes.data();
         m_parser.get().body().size = m_bytes.size();
-        m_stream.expires_after(m_limits.silence);
+        m_stream.expires_after(m_limits.read);
         const auto [ec, n] = co_await http::async_read_some(m_stream, m_buffer, m_parser, quietly);
         const std::size_t got = m_bytes.size() - m_parser.get().body().size;
         if (got > 0)
--- a/src/upstream/ssecall.h
+++ b/src/upstream/ssecall.h
@@ -26,19 +26,19 @@
 class SseCall
 {
 public:
-    struct Limits
+    struct Timeouts
     {
         Duration connect = seconds(2);
-        Duration silence = seconds(20); ///< between two reads
+        Duration read = seconds(20); ///< between two reads
     };
 
-    SseCall(const boost::asio::any_io_executor &executor, Endpoint to, Limits limits);
+    SseCall(const boost::asio::any_io_executor &executor, Endpoint to, Timeouts limits);
 
     /// Connects; the reason when it failed, else empty.
     boost::asio::awaitable<std::string> connect();
 
     /// Sends the request and reads the header of the answer; the reason when it failed.
-    boost::asio::awaitable<std::string> ask(HttpRequest request);
+    boost::asio::awaitable<std::string> send(HttpRequest request);
 
     /// The HTTP status of the answer.
     unsigned status() const { return m_parser.get().result_int(); }
@@ -51,17 +51,17 @@
     boost::asio::awaitable<std::string_view> readSome(std::string *reason);
 
     /// True when the body ended as HTTP says it should.
-    bool ended() const { return m_parser.is_done(); }
+    bool isComplete() const { return m_parser.is_done(); }
 
     /// True when the last read ended by silence.
-    bool stalled() const { return m_stalled; }
+    bool timedOut() const { return m_stalled; }
 
 private:
     static constexpr std::size_t readSize = 16U << 10U;
 
     boost::beast::tcp_stream m_stream;
     Endpoint m_to;
-    Limits m_limits;
+    Timeouts m_limits;
     boost::beast::flat_buffer m_buffer;
     boost::beast::http::response_parser<boost::beast::http::buffer_body> m_parser;
     std::array<char, readSize> m_bytes{};
--- a/src/upstream/upstreamchannel.cpp
+++ b/src/upstream/upstreamchannel.cpp
@@ -21,7 +21,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-bool UpstreamChannel::isQuiet()
+bool UpstreamChannel::isClean()
 {
     char byte = 0;
     const ssize_t n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -34,13 +34,13 @@
     socket.close(ec);
 }
 
-bool UpstreamPool::isUsable(UpstreamChannel &channel) const
+bool ConnectionPool::isUsable(UpstreamChannel &channel) const
 {
     const Duration age = RuntimeClock::now() - channel.idleSince;
-    return age + idleMargin < channel.idleLimit && channel.isQuiet();
+    return age + idleMargin < channel.idleTimeout && channel.isClean();
 }
 
-UpstreamChannelPtr UpstreamPool::takeIdle(const UpstreamId &id)
+UpstreamChannelPtr ConnectionPool::takeIdle(const UpstreamId &id)
 {
     const auto it = m_idle.find(id);
     if (it == m_idle.end())
@@ -56,8 +56,8 @@
     return nullptr;
 }
 
-asio::awaitable<UpstreamChannelPtr> UpstreamPool::connect(const UpstreamEntry &entry,
-                                                          Duration limit, ConnectFailure *failure)
+asio::awaitable<UpstreamChannelPtr> ConnectionPool::connect(const UpstreamEntry &entry,
+                                                            Duration limit, ConnectFailure *failure)
 {
     auto channel = std::make_shared<UpstreamChannel>(asio::ip::tcp::socket(m_executor));
     error_code ec;
@@ -77,17 +77,17 @@
     timer.cancel();
     if (ec || !channel->socket.is_open()) {
         failure->reason = ec ? ec.message() : "no connection in time";
-        failure->nobodyListens = ec == asio::error::connection_refused;
+        failure->connectionRefused = ec == asio::error::connection_refused;
         co_return nullptr;
     }
     setSocketTimeouts(channel->socket);
     co_return channel;
 }
 
-void UpstreamPool::giveBack(const UpstreamId &id, UpstreamChannelPtr channel)
+void ConnectionPool::giveBack(const UpstreamId &id, UpstreamChannelPtr channel)
 {
     std::vector<UpstreamChannelPtr> &idle = m_idle[id];
-    if (idle.size() >= mostIdle) {
+    if (idle.size() >= maxIdle) {
         channel->close();
         return;
     }
@@ -95,7 +95,7 @@
     idle.push_back(std::move(channel));
 }
 
-void UpstreamPool::forget(const UpstreamId &id)
+void ConnectionPool::closeIdle(const UpstreamId &id)
 {
     const auto it = m_idle.find(id);
     if (it == m_idle.end())
@@ -104,7 +104,7 @@
     m_idle.erase(it);
 }
 
-void UpstreamPool::closeExpired()
+void ConnectionPool::closeExpired()
 {
     for (std::vector<UpstreamChannelPtr> &idle : m_idle | std::views::values) {
         std::erase_if(idle, [&](const UpstreamChannelPtr &channel) {
--- a/src/upstream/upstreamchannel.h
+++ b/src/upstream/upstreamchannel.h
@@ -29,17 +29,17 @@
     boost::asio::ip::tcp::socket socket;
     boost::beast::flat_buffer buffer; ///< bytes read and not yet taken
     Time idleSince{};
-    Duration idleLimit = defaultIdleLimit; ///< after which the upstream may close it
+    Duration idleTimeout = defaultIdleTimeout; ///< after which the upstream may close it
 
     /// True when nothing arrived on the idle connection: neither its end nor bytes that belong to
     /// no call.
-    bool isQuiet();
+    bool isClean();
 
     /// Ends the connection; operations under way end with an error.
     void close();
 
     /// An upstream that names no limit of its own: a common default of servers is 5 s and more.
-    static constexpr Duration defaultIdleLimit = seconds(5);
+    static constexpr Duration defaultIdleTimeout = seconds(5);
 };
 
 using UpstreamChannelPtr = std::shared_ptr<UpstreamChannel>;
@@ -48,14 +48,14 @@
 struct ConnectFailure
 {
     std::string reason;
-    bool nobodyListens = false; ///< the upstream's VM lives and its process does not
+    bool connectionRefused = false; ///< the upstream's VM lives and its process does not
 };
 
 /// The idle connections by upstream. All calls on one thread.
-class UpstreamPool
+class ConnectionPool
 {
 public:
-    explicit UpstreamPool(const boost::asio::any_io_executor &executor) : m_executor(executor) { }
+    explicit ConnectionPool(const boost::asio::any_io_executor &executor) : m_executor(executor) { }
 
     /// An idle connection that may be used; null when there is none.
     UpstreamChannelPtr takeIdle(const UpstreamId &id);
@@ -68,13 +68,13 @@
     void giveBack(const UpstreamId &id, UpstreamChannelPtr channel);
 
     /// Closes the idle connections of an upstream.
-    void forget(const UpstreamId &id);
+    void closeIdle(const UpstreamId &id);
 
     /// Closes idle connections that are past their limit.
     void closeExpired();
 
     /// Idle connections kept for one upstream.
-    static constexpr std::size_t mostIdle = 64;
+    static constexpr std::size_t maxIdle = 64;
     /// A connection is used this long before the upstream's own limit at the latest, so that its
     /// end does not cross a call on the way.
     static constexpr Duration idleMargin = milliseconds(500);
--- a/src/upstream/upstreamclient.cpp
+++ b/src/upstream/upstreamclient.cpp
@@ -18,7 +18,7 @@
 
 #include <reachlead/log.h>
 
-#include "upstream/enginecall.h"
+#include "upstream/enginejson.h"
 #include "upstream/sse.h"
 #include "upstream/ssecall.h"
 
@@ -139,13 +139,13 @@
 UpstreamClient::Awaitable UpstreamClient::callEngine(StartUpstreamCall call)
 {
     const AttemptKey key = call.key;
-    const std::optional<std::string> body = engineBody(*call.dispatch);
+    const std::optional<std::string> body = engineRequestBody(*call.dispatch);
     if (!body) {
         UpstreamFailure failure{key, ErrorKind::BadRequest, Outcome::NotRun, "body is not JSON"};
         co_await emit(std::move(failure));
         co_return;
     }
-    const SseCall::Limits limits{m_options.connectLimit, m_options.stallLimit};
+    const SseCall::Timeouts limits{m_options.connectTimeout, m_options.stallTimeout};
     SseCall stream(m_io.get_executor(), m_options.upstream, limits);
     std::string reason = co_await stream.connect();
     if (!reason.empty()) {
@@ -154,7 +154,7 @@
         co_return;
     }
     HttpRequest ask{"POST", call.dispatch->call.path, {}, *body};
-    reason = co_await stream.ask(std::move(ask));
+    reason = co_await stream.send(std::move(ask));
     if (!reason.empty()) {
         UpstreamFailure failure{key, ErrorKind::UpstreamLost, Outcome::Unknown, reason};
         co_await emitLoss(std::move(failure));
@@ -172,13 +172,13 @@
         const auto events = decoder.feed(bytes);
         if (bytes.empty() || !events) {
             const ErrorKind kind =
-                stream.stalled() ? ErrorKind::UpstreamStalled : ErrorKind::UpstreamLost;
+                stream.timedOut() ? ErrorKind::UpstreamStalled : ErrorKind::UpstreamLost;
             UpstreamFailure failure{key, kind, Outcome::Ran, reason};
             co_await emitLoss(std::move(failure));
             co_return;
         }
         for (const std::string &data : *events) {
-            EngineEvent event = readEngineEvent(data);
+            EngineEvent event = parseEngineEvent(data);
             if (event.kind == EngineEvent::Kind::Text) {
                 UpstreamToken token{key, std::move(event.text)};
                 co_await emit(std::move(token));
@@ -186,7 +186,7 @@
                 UpstreamDone done{key};
                 co_await emit(done);
                 co_return;
-            } else if (event.kind == EngineEvent::Kind::Broken) {
+            } else if (event.kind == EngineEvent::Kind::Malformed) {
                 UpstreamFailure failure{key, ErrorKind::UpstreamLost, Outcome::Ran,
                                         "event not understood"};
                 co_await emit(std::move(failure));
@@ -204,7 +204,7 @@
     ask.headers.push_back({"Reachlead-Request-Id", toString(key.id)});
     std::string reason;
     CallProgress progress{};
-    auto reply = co_await httpCall(m_options.upstream, std::move(ask), m_options.serviceLimit,
+    auto reply = co_await httpCall(m_options.upstream, std::move(ask), m_options.serviceTimeout,
                                    &reason, &progress);
     if (reply) {
         const auto it = std::ranges::find_if(reply->headers, [](const Header &header) {
--- a/src/upstream/upstreamclient.h
+++ b/src/upstream/upstreamclient.h
@@ -59,9 +59,9 @@
     struct Options
     {
         Endpoint upstream;
-        Duration connectLimit = seconds(2);
-        Duration stallLimit = seconds(20); ///< silence after which a stream is given up
-        Duration serviceLimit = seconds(60); ///< for a plain service's whole answer
+        Duration connectTimeout = seconds(2);
+        Duration stallTimeout = seconds(20); ///< silence after which a stream is given up
+        Duration serviceTimeout = seconds(60); ///< for a plain service's whole answer
         std::size_t ringSize = 8192;
     };
 
--- a/src/upstream/upstreamexchange.cpp
+++ b/src/upstream/upstreamexchange.cpp
@@ -41,7 +41,7 @@
     request.version(11);
     request.base() = http::request_header<>(call.fields);
     if (call.method == http::verb::unknown)
-        request.method_string(call.methodText);
+        request.method_string(call.methodName);
     else
         request.method(call.method);
     request.target(call.target);
@@ -56,7 +56,7 @@
 
 asio::awaitable<bool> UpstreamExchange::readHead()
 {
-    for (int stale = 0; stale <= mostStale; ++stale) {
+    for (int stale = 0; stale <= maxStaleAnswers; ++stale) {
         const bool good = co_await readOneHead();
         if (!good)
             co_return false;
@@ -93,7 +93,7 @@
 asio::awaitable<bool> UpstreamExchange::dropBody()
 {
     while (true) {
-        const auto piece = co_await readPiece();
+        const auto piece = co_await readSome();
         if (!piece)
             co_return false;
         if (piece->empty())
@@ -101,7 +101,7 @@
     }
 }
 
-asio::awaitable<std::optional<std::string>> UpstreamExchange::readPiece()
+asio::awaitable<std::optional<std::string>> UpstreamExchange::readSome()
 {
     m_piece.resize(pieceSize);
     while (!m_parser->is_done()) {
@@ -137,7 +137,7 @@
         && !m_parser->need_eof();
 }
 
-std::optional<Duration> UpstreamExchange::keepAlive() const
+std::optional<Duration> UpstreamExchange::keepAliveTimeout() const
 {
     const std::string text = ";" + std::string(head()[http::field::keep_alive]);
     for (const auto &param : http::param_list(text)) {
--- a/src/upstream/upstreamexchange.h
+++ b/src/upstream/upstreamexchange.h
@@ -24,7 +24,7 @@
 struct UpstreamCall
 {
     boost::beast::http::verb method = boost::beast::http::verb::get;
-    std::string methodText; ///< for methods that Beast has no number for
+    std::string methodName; ///< for methods that Beast has no number for
     std::string target;
     Fields fields;
     std::string_view body;
@@ -49,7 +49,7 @@
 
     /// Reads more of the body; an empty text at its end. Nothing with reason() set when the answer
     /// broke off.
-    boost::asio::awaitable<std::optional<std::string>> readPiece();
+    boost::asio::awaitable<std::optional<std::string>> readSome();
 
     /// Of the answer; 0 before its head came.
     unsigned status() const { return m_parser ? m_parser->get().result_int() : 0; }
@@ -67,12 +67,12 @@
     bool isReusable() const;
 
     /// How long the upstream keeps the connection idle; empty when it does not say.
-    std::optional<Duration> keepAlive() const;
+    std::optional<Duration> keepAliveTimeout() const;
 
     const UpstreamChannelPtr &channel() const { return m_channel; }
 
     /// Late answers of former calls that are dropped before the connection is given up.
-    static constexpr int mostStale = 3;
+    static constexpr int maxStaleAnswers = 3;
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
