--- a/src/peer/agentlink.cpp
+++ b/src/peer/agentlink.cpp
@@ -21,69 +21,69 @@
 
 void AgentLink::start()
 {
-    dial();
+    connect();
 }
 
-void AgentLink::wait()
+void AgentLink::scheduleReconnect()
 {
-    std::uniform_int_distribution<Duration::rep> spread(0, m_pause.count());
-    m_timer.expires_after(Duration(spread(m_random)));
-    m_pause = std::min(m_pause * 2, longestPause);
+    std::uniform_int_distribution<Duration::rep> jitter(0, m_backoff.count());
+    m_timer.expires_after(Duration(jitter(m_random)));
+    m_backoff = std::min(m_backoff * 2, maxBackoff);
     m_timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
         if (!ec)
-            self->dial();
+            self->connect();
     });
 }
 
-void AgentLink::dial()
+void AgentLink::connect()
 {
-    if (!m_life.apply(LinkEvent::Dial))
+    if (!m_stateMachine.apply(LinkEvent::Connect))
         return;
-    boost::system::error_code bad;
-    const auto address = asio::ip::make_address(m_member.address, bad);
-    if (bad) {
-        broken("address is not an IP number");
+    boost::system::error_code parseError;
+    const auto address = asio::ip::make_address(m_member.address, parseError);
+    if (parseError) {
+        handleDisconnect("address is not an IP address");
         return;
     }
-    m_dialling = std::make_unique<asio::ip::tcp::socket>(m_io);
-    m_timer.expires_after(greetLimit);
+    m_connectingSocket = std::make_unique<asio::ip::tcp::socket>(m_io);
+    m_timer.expires_after(handshakeTimeout);
     m_timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
-        if (!ec && self->m_life.state() == LinkState::Connecting) {
+        if (!ec && self->m_stateMachine.state() == LinkState::Connecting) {
             boost::system::error_code ignored;
-            self->m_dialling->close(ignored);
+            self->m_connectingSocket->close(ignored);
         }
     });
-    m_dialling->async_connect({address, m_member.port},
-                              [self = shared_from_this()](boost::system::error_code ec) {
-                                  if (self->m_life.state() != LinkState::Connecting)
-                                      return;
-                                  if (ec)
-                                      self->broken(ec.message());
-                                  else
-                                      self->greet();
-                              });
+    m_connectingSocket->async_connect({address, m_member.port},
+                                      [self = shared_from_this()](boost::system::error_code ec) {
+                                          if (self->m_stateMachine.state() != LinkState::Connecting)
+                                              return;
+                                          if (ec)
+                                              self->handleDisconnect(ec.message());
+                                          else
+                                              self->startHandshake();
+                                      });
 }
 
-void AgentLink::greet()
+void AgentLink::startHandshake()
 {
-    m_life.apply(LinkEvent::Connected);
-    m_connection = std::make_shared<FrameConnection>(std::move(*m_dialling));
-    m_dialling.reset();
+    m_stateMachine.apply(LinkEvent::Connected);
+    m_connection = std::make_shared<FrameConnection>(std::move(*m_connectingSocket));
+    m_connectingSocket.reset();
     const auto connection = m_connection;
-    m_connection->start(
-        [self = shared_from_this()](std::string_view payload) { return self->takeFrame(payload); },
-        [self = shared_from_this(), connection](const std::string &reason) {
-            if (self->m_connection == connection)
-                self->broken(reason);
-        });
-    m_timer.expires_after(greetLimit);
+    m_connection->start([self = shared_from_this()](
+                            std::string_view payload) { return self->handleFrame(payload); },
+                        [self = shared_from_this(), connection](const std::string &reason) {
+                            if (self->m_connection == connection)
+                                self->handleDisconnect(reason);
+                        });
+    m_timer.expires_after(handshakeTimeout);
     m_timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
-        if (!ec && self->m_life.state() == LinkState::Greeting)
-            self->drop("no welcome in time");
+        if (!ec && self->m_stateMachine.state() == LinkState::Handshaking)
+            self->drop("no Welcome received in time");
     });
 }
 
-bool AgentLink::takeFrame(std::string_view payload)
+bool AgentLink::handleFrame(std::string_view payload)
 {
     std::string reason;
     const std::optional<ToRouter> message = decodeToRouter(payload, &reason);
@@ -92,28 +92,29 @@
         LogLine(LogLevel::Warn, "bad-frame").with("agent", m_member.vm.text).with("reason", reason);
         return false;
     }
-    if (m_life.state() == LinkState::Greeting)
-        return takeGreeting(*message);
-    if (m_life.state() == LinkState::Up)
+    if (m_stateMachine.state() == LinkState::Handshaking)
+        return handleHandshake(*message);
+    if (m_stateMachine.state() == LinkState::Up)
         m_context.onMessage(m_member.vm, *message);
     return true;
 }
 
-bool AgentLink::takeGreeting(const ToRouter &message)
+bool AgentLink::handleHandshake(const ToRouter &message)
 {
     if (const auto *challenge = std::get_if<Challenge>(&message)) {
         sendHello(challenge->nonce);
         return true;
     }
     const auto *welcome = std::get_if<Welcome>(&message);
-    return welcome && takeWelcome(*welcome);
+    return welcome && handleWelcome(*welcome);
 }
 
 void AgentLink::sendHello(const std::string &agentNonce)
 {
     constexpr std::size_t nonceBytes = 16;
     m_nonce = randomHex(nonceBytes);
-    // A session number never used before lets the agent tell the newer of two sessions.
+    // The session number increases with each Hello, so that the agent can tell which of two
+    // sessions is the newer.
     Hello hello{protocolVersion,
                 m_context.vm,
                 m_context.incarnation,
@@ -125,7 +126,7 @@
     m_connection->send(ToAgent(hello));
 }
 
-bool AgentLink::takeWelcome(const Welcome &welcome)
+bool AgentLink::handleWelcome(const Welcome &welcome)
 {
     if (welcome.version != protocolVersion || welcome.vm != m_member.vm)
         return false;
@@ -135,8 +136,8 @@
         return false;
     }
     m_timer.cancel();
-    m_life.apply(LinkEvent::Welcomed);
-    m_pause = firstPause;
+    m_stateMachine.apply(LinkEvent::Welcomed);
+    m_backoff = initialBackoff;
     LogLine(LogLevel::Info, "agent-up")
         .with("agent", m_member.vm.text)
         .with("target", welcome.target.text)
@@ -145,20 +146,20 @@
     return true;
 }
 
-void AgentLink::broken(const std::string &reason)
+void AgentLink::handleDisconnect(const std::string &reason)
 {
-    const bool wasUp = m_life.state() == LinkState::Up;
-    if (!m_life.apply(LinkEvent::Broken))
+    const bool wasUp = m_stateMachine.state() == LinkState::Up;
+    if (!m_stateMachine.apply(LinkEvent::Disconnected))
         return;
     m_timer.cancel();
-    m_dialling.reset();
+    m_connectingSocket.reset();
     m_connection.reset();
     LogLine(wasUp ? LogLevel::Warn : LogLevel::Debug, "agent-down")
         .with("agent", m_member.vm.text)
         .with("reason", reason);
     if (wasUp)
         m_context.onDown(m_member.vm);
-    wait();
+    scheduleReconnect();
 }
 
 void AgentLink::drop(const std::string &reason)
@@ -169,18 +170,18 @@
 
 void AgentLink::remove()
 {
-    m_life.apply(LinkEvent::Remove);
+    m_stateMachine.apply(LinkEvent::Remove);
     m_timer.cancel();
     boost::system::error_code ignored;
-    if (m_dialling)
-        m_dialling->close(ignored);
+    if (m_connectingSocket)
+        m_connectingSocket->close(ignored);
     if (const auto connection = std::exchange(m_connection, nullptr))
         connection->closeWhenWritten();
 }
 
 bool AgentLink::send(const ToAgent &message)
 {
-    if (m_life.state() != LinkState::Up)
+    if (m_stateMachine.state() != LinkState::Up)
         return false;
     m_connection->send(message);
     return true;
--- a/src/peer/agentlink.h
+++ b/src/peer/agentlink.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A router's link to one agent: dials, greets, and dials again when it breaks.
+/// A router's link to one agent. Reconnects with backoff when the connection is lost.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace reachlead {
 
-/// What all links of one router have in common.
+/// State and callbacks shared by all links of one router.
 struct LinkContext
 {
     VmName vm;
@@ -33,46 +33,46 @@
     std::function<void(const VmName &, const ToRouter &)> onMessage;
 };
 
-/// Runs on the dispatching thread.
+/// Connects to one agent and authenticates both sides. Runs on the dispatching thread.
 class AgentLink : public std::enable_shared_from_this<AgentLink>
 {
 public:
     AgentLink(boost::asio::io_context &io, const LinkContext &context, Member member);
 
     void start();
-    /// Ends the link for good.
+    /// Closes the link permanently; messages already queued are still written.
     void remove();
-    /// Ends the present connection; another is dialled.
+    /// Closes the current connection; the link then reconnects.
     void drop(const std::string &reason);
-    /// Sends a message; false when the link is not up.
+    /// Sends a message; returns false when the link is not up.
     bool send(const ToAgent &message);
 
     const Member &member() const { return m_member; }
 
 private:
-    static constexpr Duration firstPause = milliseconds(50);
-    static constexpr Duration longestPause = seconds(2);
-    static constexpr Duration greetLimit = seconds(2); ///< for connect and Welcome each
+    static constexpr Duration initialBackoff = milliseconds(50);
+    static constexpr Duration maxBackoff = seconds(2);
+    static constexpr Duration handshakeTimeout = seconds(2); ///< for connect and for Welcome, each
 
-    void wait();
-    void dial();
-    void greet();
-    void broken(const std::string &reason);
-    bool takeFrame(std::string_view payload);
-    bool takeGreeting(const ToRouter &message);
-    bool takeWelcome(const Welcome &welcome);
+    void scheduleReconnect();
+    void connect();
+    void startHandshake();
+    void handleDisconnect(const std::string &reason);
+    bool handleFrame(std::string_view payload);
+    bool handleHandshake(const ToRouter &message);
+    bool handleWelcome(const Welcome &welcome);
     void sendHello(const std::string &agentNonce);
 
     boost::asio::io_context &m_io;
     const LinkContext &m_context;
     Member m_member;
-    LinkStateMachine m_life;
+    LinkStateMachine m_stateMachine;
     Timer m_timer;
-    std::unique_ptr<boost::asio::ip::tcp::socket> m_dialling;
+    std::unique_ptr<boost::asio::ip::tcp::socket> m_connectingSocket;
     std::shared_ptr<FrameConnection> m_connection;
     std::uint64_t m_session = 0;
-    std::string m_nonce; ///< signed by the agent's Welcome
-    Duration m_pause = firstPause;
+    std::string m_nonce; ///< signed by the agent in its Welcome
+    Duration m_backoff = initialBackoff;
     Random m_random;
 };
 
--- a/src/peer/archive.h
+++ b/src/peer/archive.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// cereal archives that write into a string and read from bytes nobody vouches for.
+/// cereal archives that write to a string and read from untrusted bytes.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace reachlead {
 
-/// Appends plain little-endian bytes to a string.
+/// Appends little-endian binary data to a string.
 class FrameWriter : public cereal::OutputArchive<FrameWriter, cereal::AllowEmptyClassElision>
 {
 public:
@@ -37,33 +37,34 @@
     std::string *m_out;
 };
 
-/// Reads what FrameWriter wrote. Throws cereal::Exception when the bytes end early, when a size
-/// is larger than the bytes left (so no hostile size is ever allocated), or when a flag is
-/// neither 0 nor 1.
+/// Reads the output of FrameWriter. Throws cereal::Exception when the input is truncated, when a
+/// size is larger than the remaining input (so that a hostile size is never allocated), or when a
+/// flag is neither 0 nor 1.
 class FrameReader : public cereal::InputArchive<FrameReader, cereal::AllowEmptyClassElision>
 {
 public:
     explicit FrameReader(std::string_view bytes)
-        : cereal::InputArchive<FrameReader, cereal::AllowEmptyClassElision>(this), m_left(bytes)
+        : cereal::InputArchive<FrameReader, cereal::AllowEmptyClassElision>(this),
+          m_remaining(bytes)
     { }
 
     void loadBinary(void *data, std::size_t size)
     {
-        if (size > m_left.size())
-            throw cereal::Exception("frame ends early");
+        if (size > m_remaining.size())
+            throw cereal::Exception("frame is truncated");
         if (size > 0)
-            std::memcpy(data, m_left.data(), size);
-        m_left.remove_prefix(size);
+            std::memcpy(data, m_remaining.data(), size);
+        m_remaining.remove_prefix(size);
     }
 
-    /// Bytes not read yet.
-    std::size_t remaining() const { return m_left.size(); }
+    /// Number of bytes not read yet.
+    std::size_t remaining() const { return m_remaining.size(); }
 
 private:
-    std::string_view m_left;
+    std::string_view m_remaining;
 };
 
-// The names below are the ones cereal looks up.
+// cereal finds these functions by name.
 // NOLINTBEGIN(readability-identifier-naming)
 
 template <class T>
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-static_assert(std::endian::native == std::endian::little,
-              "frames are little-endian; other machines would need swaps in FrameWriter");
+static_assert(
+    std::endian::native == std::endian::little,
+    "frames are little-endian; a big-endian host needs byte swaps in FrameWriter and FrameReader");
 
 template <class Message> void append(std::string *out, const Message &message)
 {
@@ -32,7 +33,7 @@
         FrameReader archive(payload);
         archive(message);
         if (archive.remaining() != 0) {
-            *reason = "bytes behind the message";
+            *reason = "unexpected bytes after the message";
             return std::nullopt;
         }
         return message;
@@ -73,11 +74,11 @@
     return decode<ToRouter>(payload, reason);
 }
 
-std::string encodeHeartbeat(const Heartbeat &beat)
+std::string encodeHeartbeat(const Heartbeat &heartbeat)
 {
     std::string out;
     FrameWriter archive(&out);
-    archive(beat);
+    archive(heartbeat);
     return out;
 }
 
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Frames between routers and agents: a 4-byte little-endian length, then a cereal message.
+/// Frames between routers and agents: a 4-byte little-endian length followed by a cereal message.
 
 #pragma once
 
@@ -14,23 +14,23 @@
 
 namespace reachlead {
 
-/// Bytes of the length ahead of each frame.
+/// Size of the length prefix of each frame.
 inline constexpr std::size_t frameHeaderBytes = 4;
 
-/// Appends a whole frame, length included, to \p out.
+/// Appends a complete frame, including its length prefix, to \p out.
 void appendFrame(std::string *out, const ToAgent &message);
 void appendFrame(std::string *out, const ToRouter &message);
 
-/// Reads the length of a frame; empty when it passes maxFrameBytes.
+/// Reads a frame's length prefix; empty when the length exceeds maxFrameBytes.
 std::optional<std::size_t> frameLength(std::string_view head);
 
-/// Decodes one frame's payload, without the length. Empty with \p reason set when the bytes are
-/// not such a message; no exception leaves.
+/// Decodes one frame's payload, without the length prefix. Returns nothing and sets \p reason when
+/// the bytes are not such a message; never throws.
 std::optional<ToAgent> decodeToAgent(std::string_view payload, std::string *reason);
 std::optional<ToRouter> decodeToRouter(std::string_view payload, std::string *reason);
 
-/// Datagrams have no length ahead.
-std::string encodeHeartbeat(const Heartbeat &beat);
+/// Heartbeats are sent as datagrams, without a length prefix.
+std::string encodeHeartbeat(const Heartbeat &heartbeat);
 std::optional<Heartbeat> decodeHeartbeat(std::string_view payload, std::string *reason);
 
 } // namespace reachlead
--- a/src/peer/codec_test.cpp
+++ b/src/peer/codec_test.cpp
@@ -9,16 +9,16 @@
 
 namespace reachlead {
 
-/// Frames that nobody vouches for must end in a reason, never in a crash, a throw or an
-/// allocation beyond the frame.
+/// Untrusted frames must be refused with a reason, never lead to a crash, an exception or an
+/// allocation larger than the frame.
 class CodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CodecTest);
-    CPPUNIT_TEST(messagesComeBack);
-    CPPUNIT_TEST(anyBytesAreTaken);
-    CPPUNIT_TEST(flippedFramesAreTaken);
+    CPPUNIT_TEST(messagesRoundTrip);
+    CPPUNIT_TEST(arbitraryBytesAreHandled);
+    CPPUNIT_TEST(corruptFramesAreHandled);
     CPPUNIT_TEST(hostileSizesAllocateNothing);
-    CPPUNIT_TEST(linkAllowsOnlyItsMoves);
+    CPPUNIT_TEST(linkRejectsInvalidTransitions);
     CPPUNIT_TEST_SUITE_END();
 
     static Dispatch dispatch()
@@ -40,49 +40,50 @@
         return frame.substr(frameHeaderBytes);
     }
 
-    void messagesComeBack()
+    void messagesRoundTrip()
     {
         std::string reason;
-        const auto got = decodeToAgent(payload(ToAgent(dispatch())), &reason);
-        CPPUNIT_ASSERT_MESSAGE(reason, got.has_value());
-        const auto &message = std::get<Dispatch>(*got);
+        const auto decoded = decodeToAgent(payload(ToAgent(dispatch())), &reason);
+        CPPUNIT_ASSERT_MESSAGE(reason, decoded.has_value());
+        const auto &message = std::get<Dispatch>(*decoded);
         CPPUNIT_ASSERT(message.id == dispatch().id);
         CPPUNIT_ASSERT_EQUAL(dispatch().call.body, message.call.body);
         CPPUNIT_ASSERT_EQUAL(std::string("b"), message.call.headers.at(0).value);
-        const AttemptResult end{
+        const AttemptResult result{
             {Incarnation{1}, 2}, 3, ErrorKind::UpstreamLost, Outcome::Ran, "why", 5, 6, 0, {}, {}};
-        const auto back = decodeToRouter(payload(ToRouter(end)), &reason);
-        CPPUNIT_ASSERT(back && std::get<AttemptResult>(*back).kind == ErrorKind::UpstreamLost);
-        const Heartbeat beat{1, VmName("a"), Incarnation{3}, 4, {}, ""};
-        CPPUNIT_ASSERT(decodeHeartbeat(encodeHeartbeat(beat), &reason)->sequence == 4);
-        CPPUNIT_ASSERT(!decodeToRouter(payload(ToRouter(end)) + "x", &reason));
+        const auto decodedResult = decodeToRouter(payload(ToRouter(result)), &reason);
+        CPPUNIT_ASSERT(decodedResult
+                       && std::get<AttemptResult>(*decodedResult).kind == ErrorKind::UpstreamLost);
+        const Heartbeat heartbeat{1, VmName("a"), Incarnation{3}, 4, {}, ""};
+        CPPUNIT_ASSERT(decodeHeartbeat(encodeHeartbeat(heartbeat), &reason)->sequence == 4);
+        CPPUNIT_ASSERT(!decodeToRouter(payload(ToRouter(result)) + "x", &reason));
     }
 
-    void anyBytesAreTaken()
+    void arbitraryBytesAreHandled()
     {
-        const bool good = rc::check("any bytes", [](const std::string &bytes) {
+        const bool passed = rc::check("any bytes", [](const std::string &bytes) {
             std::string reason;
             (void)decodeToAgent(bytes, &reason);
             (void)decodeToRouter(bytes, &reason);
             (void)decodeHeartbeat(bytes, &reason);
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void flippedFramesAreTaken()
+    void corruptFramesAreHandled()
     {
-        const std::string whole = payload(ToAgent(dispatch()));
-        const bool good = rc::check("flipped frames", [&] {
-            std::string bytes = whole;
-            const auto flips = *rc::gen::inRange(1, 8);
-            for (int n = 0; n < flips; ++n)
+        const std::string encoded = payload(ToAgent(dispatch()));
+        const bool passed = rc::check("flipped frames", [&] {
+            std::string bytes = encoded;
+            const auto flipCount = *rc::gen::inRange(1, 8);
+            for (int n = 0; n < flipCount; ++n)
                 bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] =
                     static_cast<char>(*rc::gen::inRange(0, 256));
             bytes.resize(*rc::gen::inRange<std::size_t>(0, bytes.size() + 1));
             std::string reason;
             (void)decodeToAgent(bytes, &reason);
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(passed);
     }
 
     void hostileSizesAllocateNothing()
@@ -96,20 +97,20 @@
         CPPUNIT_ASSERT(!frameLength(std::string_view("\xff\xff\xff\xff", 4)));
     }
 
-    void linkAllowsOnlyItsMoves()
+    void linkRejectsInvalidTransitions()
     {
-        LinkStateMachine life;
-        CPPUNIT_ASSERT(!life.apply(LinkEvent::Welcomed));
-        CPPUNIT_ASSERT(life.apply(LinkEvent::Dial));
-        CPPUNIT_ASSERT(life.state() == LinkState::Connecting);
-        CPPUNIT_ASSERT(life.apply(LinkEvent::Connected));
-        CPPUNIT_ASSERT(life.state() == LinkState::Greeting);
-        CPPUNIT_ASSERT(life.apply(LinkEvent::Welcomed));
-        CPPUNIT_ASSERT(life.state() == LinkState::Up);
-        CPPUNIT_ASSERT(life.apply(LinkEvent::Broken));
-        CPPUNIT_ASSERT(life.state() == LinkState::Waiting);
-        CPPUNIT_ASSERT(life.apply(LinkEvent::Remove));
-        CPPUNIT_ASSERT(!life.apply(LinkEvent::Dial));
+        LinkStateMachine link;
+        CPPUNIT_ASSERT(!link.apply(LinkEvent::Welcomed));
+        CPPUNIT_ASSERT(link.apply(LinkEvent::Connect));
+        CPPUNIT_ASSERT(link.state() == LinkState::Connecting);
+        CPPUNIT_ASSERT(link.apply(LinkEvent::Connected));
+        CPPUNIT_ASSERT(link.state() == LinkState::Handshaking);
+        CPPUNIT_ASSERT(link.apply(LinkEvent::Welcomed));
+        CPPUNIT_ASSERT(link.state() == LinkState::Up);
+        CPPUNIT_ASSERT(link.apply(LinkEvent::Disconnected));
+        CPPUNIT_ASSERT(link.state() == LinkState::Waiting);
+        CPPUNIT_ASSERT(link.apply(LinkEvent::Remove));
+        CPPUNIT_ASSERT(!link.apply(LinkEvent::Connect));
     }
 };
 
--- a/src/peer/frameconnection.cpp
+++ b/src/peer/frameconnection.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Unacknowledged data older than this ends a connection (Linux TCP_USER_TIMEOUT), in ms.
-constexpr int userTimeoutMillis = 5000;
+/// Age of unacknowledged data at which Linux closes a connection (TCP_USER_TIMEOUT).
+constexpr int userTimeoutMs = 5000;
 
 } // namespace
 
@@ -29,7 +29,7 @@
     socket.set_option(asio::socket_base::keep_alive(true), ec);
     socket.set_option(KeepIdle(3), ec);
     socket.set_option(KeepInterval(1), ec);
-    socket.set_option(UserTimeout(userTimeoutMillis), ec);
+    socket.set_option(UserTimeout(userTimeoutMs), ec);
 }
 
 FrameConnection::FrameConnection(Socket socket) : m_socket(std::move(socket))
@@ -45,56 +45,56 @@
 {
     m_onFrame = std::move(onFrame);
     m_onClosed = std::move(onClosed);
-    readMore();
+    scheduleRead();
 }
 
-void FrameConnection::readMore()
+void FrameConnection::scheduleRead()
 {
-    const std::size_t had = m_input.size();
-    m_input.resize(had + readSize);
-    const auto room = asio::buffer(m_input.data() + had, readSize);
+    const std::size_t oldSize = m_input.size();
+    m_input.resize(oldSize + readChunkBytes);
+    const auto buffer = asio::buffer(m_input.data() + oldSize, readChunkBytes);
     m_socket.async_read_some(
-        room, [self = shared_from_this(), had](boost::system::error_code ec, std::size_t n) {
-            self->m_input.resize(had + n);
+        buffer, [self = shared_from_this(), oldSize](boost::system::error_code ec, std::size_t n) {
+            self->m_input.resize(oldSize + n);
             if (self->m_closed)
                 return;
             if (ec) {
                 self->close(ec.message());
                 return;
             }
-            if (self->takeFrames() && !self->m_closed)
-                self->readMore();
+            if (self->handleFrames() && !self->m_closed)
+                self->scheduleRead();
         });
 }
 
-bool FrameConnection::takeFrames()
+bool FrameConnection::handleFrames()
 {
-    std::string_view left = m_input;
-    while (left.size() >= frameHeaderBytes) {
-        const std::optional<std::size_t> length = frameLength(left);
+    std::string_view remaining = m_input;
+    while (remaining.size() >= frameHeaderBytes) {
+        const std::optional<std::size_t> length = frameLength(remaining);
         if (!length) {
-            close("frame too large");
+            close("frame exceeds the size limit");
             return false;
         }
-        if (left.size() < frameHeaderBytes + *length)
+        if (remaining.size() < frameHeaderBytes + *length)
             break;
-        const bool good = m_onFrame(left.substr(frameHeaderBytes, *length));
+        const bool isValid = m_onFrame(remaining.substr(frameHeaderBytes, *length));
         if (m_closed)
             return false;
-        if (!good) {
-            close("frame not understood");
+        if (!isValid) {
+            close("frame is invalid");
             return false;
         }
-        left.remove_prefix(frameHeaderBytes + *length);
+        remaining.remove_prefix(frameHeaderBytes + *length);
     }
-    m_input.erase(0, m_input.size() - left.size());
+    m_input.erase(0, m_input.size() - remaining.size());
     return true;
 }
 
 void FrameConnection::scheduleWrite()
 {
-    if (m_pending.size() > mostPending) {
-        close("the other side does not read");
+    if (m_pending.size() > maxPendingBytes) {
+        close("send queue is full: the peer does not read");
         return;
     }
     if (m_writeScheduled)
@@ -136,7 +136,7 @@
         return;
     boost::system::error_code ec;
     m_socket.close(ec);
-    // The handler may own the last reference to us, and may be the caller.
+    // Posted, since the handler may hold the last reference to this object and may be the caller.
     auto handler = std::exchange(m_onClosed, nullptr);
     if (handler)
         asio::post(m_socket.get_executor(),
--- a/src/peer/frameconnection.h
+++ b/src/peer/frameconnection.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A TCP connection that carries frames both ways.
+/// A TCP connection that carries frames in both directions.
 
 #pragma once
 
@@ -17,21 +17,21 @@
 
 namespace reachlead {
 
-/// Reads and writes frames. One thread uses it; its handlers run there.
+/// Reads and writes frames. Used from one thread, on which its handlers run.
 class FrameConnection : public std::enable_shared_from_this<FrameConnection>
 {
 public:
     using Socket = boost::asio::ip::tcp::socket;
-    /// Gets one frame's payload; false ends the connection.
+    /// Receives one frame's payload; returning false closes the connection.
     using OnFrame = std::function<bool(std::string_view payload)>;
-    /// Called once, when the connection ended for whatever reason.
+    /// Called once when the connection is closed, by either side.
     using OnClosed = std::function<void(const std::string &reason)>;
 
     explicit FrameConnection(Socket socket);
 
     void start(OnFrame onFrame, OnClosed onClosed);
 
-    /// Queues a message. Messages of one turn of the event loop leave in one write.
+    /// Queues a message. Messages queued in one iteration of the event loop go out in one write.
     template <class Message> void send(const Message &message)
     {
         if (m_closed)
@@ -40,21 +40,21 @@
         scheduleWrite();
     }
 
-    /// Ends the connection; what is queued is dropped.
+    /// Closes the connection, discarding queued messages.
     void close(const std::string &reason);
 
-    /// Ends the connection once all that is queued has been written.
+    /// Closes the connection once all queued messages have been written.
     void closeWhenWritten();
 
     std::string remoteAddress() const { return m_remoteAddress; }
 
 private:
-    /// Queued bytes over which the other side counts as not reading.
-    static constexpr std::size_t mostPending = 64U << 20U;
-    static constexpr std::size_t readSize = 64U << 10U;
+    /// With more bytes queued the peer is assumed not to read, and the connection is closed.
+    static constexpr std::size_t maxPendingBytes = 64U << 20U;
+    static constexpr std::size_t readChunkBytes = 64U << 10U;
 
-    void readMore();
-    bool takeFrames();
+    void scheduleRead();
+    bool handleFrames();
     void scheduleWrite();
     void writePending();
 
@@ -70,7 +70,8 @@
     bool m_closeWhenWritten = false;
 };
 
-/// Makes a silent loss of the other VM show within seconds.
+/// Sets keep-alive and TCP_USER_TIMEOUT so that the loss of the peer's VM, which sends no
+/// FIN or RST, is detected within seconds.
 void setTcpOptions(boost::asio::ip::tcp::socket &socket);
 
 } // namespace reachlead
--- a/src/peer/linkstatemachine.cpp
+++ b/src/peer/linkstatemachine.cpp
@@ -14,13 +14,13 @@
 namespace msm = boost::msm;
 namespace front = boost::msm::front;
 
-struct Dial
+struct Connect
 { };
 struct Connected
 { };
 struct Welcomed
 { };
-struct Broken
+struct Disconnected
 { };
 struct Remove
 { };
@@ -29,7 +29,7 @@
 { };
 struct Connecting : front::state<>
 { };
-struct Greeting : front::state<>
+struct Handshaking : front::state<>
 { };
 struct Up : front::state<>
 { };
@@ -42,29 +42,29 @@
     using no_message_queue = int;
     using initial_state = Waiting;
 
-    bool refusedMove = false;
+    bool isRejected = false;
 
     using none = front::none;
-    // The states stand in the order of LinkState.
+    // Boost.MSM numbers the states in the order of this table, which must be that of LinkState.
     // clang-format off
     struct transition_table : boost::mpl::vector<
-        front::Row<Waiting,    Dial,      Connecting, none, none>,
-        front::Row<Waiting,    Remove,    Removed,    none, none>,
-        front::Row<Connecting, Connected, Greeting,   none, none>,
-        front::Row<Connecting, Broken,    Waiting,    none, none>,
-        front::Row<Connecting, Remove,    Removed,    none, none>,
-        front::Row<Greeting,   Welcomed,  Up,         none, none>,
-        front::Row<Greeting,   Broken,    Waiting,    none, none>,
-        front::Row<Greeting,   Remove,    Removed,    none, none>,
-        front::Row<Up,         Broken,    Waiting,    none, none>,
-        front::Row<Up,         Remove,    Removed,    none, none>
+        front::Row<Waiting,     Connect,      Connecting,  none, none>,
+        front::Row<Waiting,     Remove,       Removed,     none, none>,
+        front::Row<Connecting,  Connected,    Handshaking, none, none>,
+        front::Row<Connecting,  Disconnected, Waiting,     none, none>,
+        front::Row<Connecting,  Remove,       Removed,     none, none>,
+        front::Row<Handshaking, Welcomed,     Up,          none, none>,
+        front::Row<Handshaking, Disconnected, Waiting,     none, none>,
+        front::Row<Handshaking, Remove,       Removed,     none, none>,
+        front::Row<Up,          Disconnected, Waiting,     none, none>,
+        front::Row<Up,          Remove,       Removed,     none, none>
     > {};
     // clang-format on
 
     template <class Machine, class Event>
     void no_transition(const Event & /*event*/, Machine &m, int /*state*/)
     {
-        m.refusedMove = true;
+        m.isRejected = true;
     }
 };
 
@@ -73,11 +73,11 @@
 class LinkStateMachine::Impl : public msm::back::state_machine<MachineDef>
 {
 public:
-    template <class Event> bool move()
+    template <class Event> bool process()
     {
-        refusedMove = false;
+        isRejected = false;
         process_event(Event{});
-        return !refusedMove;
+        return !isRejected;
     }
 };
 
@@ -90,11 +90,11 @@
 
 bool LinkStateMachine::apply(LinkEvent event)
 {
-    using Move = bool (Impl::*)();
-    constexpr std::array<Move, 5> moves{&Impl::move<Dial>, &Impl::move<Connected>,
-                                        &Impl::move<Welcomed>, &Impl::move<Broken>,
-                                        &Impl::move<Remove>};
-    return (*m_impl.*moves[static_cast<std::size_t>(event)])();
+    using Transition = bool (Impl::*)();
+    constexpr std::array<Transition, 5> transitions{
+        &Impl::process<Connect>, &Impl::process<Connected>, &Impl::process<Welcomed>,
+        &Impl::process<Disconnected>, &Impl::process<Remove>};
+    return (*m_impl.*transitions[static_cast<std::size_t>(event)])();
 }
 
 LinkState LinkStateMachine::state() const
--- a/src/peer/linkstatemachine.h
+++ b/src/peer/linkstatemachine.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The life of a router's link to one agent: a Boost.MSM machine behind a plain face.
+/// The state machine of a router's link to one agent, implemented with Boost.MSM.
 
 #pragma once
 
@@ -11,24 +11,25 @@
 
 namespace reachlead {
 
-enum class LinkState : std::uint8_t { Waiting, Connecting, Greeting, Up, Removed };
+enum class LinkState : std::uint8_t { Waiting, Connecting, Handshaking, Up, Removed };
 
 enum class LinkEvent : std::uint8_t {
-    Dial, ///< the pause is over
-    Connected, ///< TCP stands
-    Welcomed, ///< the agent answered Hello
-    Broken, ///< the connection ended or was never made
-    Remove ///< the agent is in no list any more
+    Connect, ///< the backoff has elapsed
+    Connected, ///< the TCP connection is established
+    Welcomed, ///< the agent replied to Hello
+    Disconnected, ///< the connection was closed or could not be established
+    Remove ///< the agent is no longer assigned to this router
 };
 
-/// Allows only the moves a link can make. Not thread-safe.
+/// Rejects transitions that are invalid in the current state. Not thread-safe.
 class LinkStateMachine
 {
 public:
     LinkStateMachine();
     ~LinkStateMachine();
 
-    /// Makes a move; false when the state does not allow it, and nothing changes.
+    /// Processes an event. Returns false, with the state unchanged, when the event is invalid in
+    /// the current state.
     bool apply(LinkEvent event);
 
     LinkState state() const;
--- a/src/peer/messageauth.cpp
+++ b/src/peer/messageauth.cpp
@@ -30,7 +30,7 @@
 
 namespace {
 
-std::string sealedText(PeerMessageKind kind, std::string_view nonce, std::string_view message)
+std::string signingInput(PeerMessageKind kind, std::string_view nonce, std::string_view message)
 {
     return fmt::format("{}{:08x}{}{}", static_cast<char>(kind), nonce.size(), nonce, message);
 }
@@ -40,7 +40,7 @@
 std::string signMessage(const FleetKeys &keys, PeerMessageKind kind, std::string_view nonce,
                         std::string message)
 {
-    const std::string tag = keys.tag(sealedText(kind, nonce, message));
+    const std::string tag = keys.tag(signingInput(kind, nonce, message));
     return std::move(message) + tag;
 }
 
@@ -53,7 +53,7 @@
         return std::nullopt;
     const std::string_view message = bytes.substr(0, bytes.size() - FleetKeys::tagSize);
     const std::string_view tag = bytes.substr(message.size());
-    if (!keys.verifyTag(sealedText(kind, nonce, message), tag))
+    if (!keys.verifyTag(signingInput(kind, nonce, message), tag))
         return std::nullopt;
     return message;
 }
--- a/src/peer/messageauth.h
+++ b/src/peer/messageauth.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The texts that routers and agents sign to prove that they belong to the fleet.
+/// Authentication of messages between routers, agents and gateways by the shared fleet keys.
 
 #pragma once
 
@@ -15,17 +15,18 @@
 
 namespace reachlead {
 
-/// What a router signs in its Hello: bound to this connection by the agent's nonce.
+/// The text that a router signs in its Hello; the agent's nonce binds it to this connection.
 std::string helloSigningInput(const std::string &agentNonce, const VmName &agent,
                               const Hello &hello);
 
-/// What an agent signs in its Welcome: bound to this connection by the router's nonce.
+/// The text that an agent signs in its Welcome; the router's nonce binds it to this connection.
 std::string welcomeSigningInput(const std::string &routerNonce, const Welcome &welcome);
 
-/// What an agent signs of a heartbeat: all of it but the proof.
+/// The bytes that an agent signs in a heartbeat: the whole message except the proof.
 std::string heartbeatSigningInput(Heartbeat beat);
 
-/// What gateways send each other, so that a tag of one kind proves nothing for another.
+/// Kinds of messages between gateways. The kind is covered by the authentication tag, so that the
+/// tag of one kind is invalid for another.
 enum class PeerMessageKind : char {
     Heartbeat = 'b',
     StateQuery = 'a',
@@ -39,13 +40,13 @@
     Quarantine = 'k'
 };
 
-/// A message of gateways with its proof behind it; without keys, the message alone. \p nonce binds
-/// an answer to its question.
+/// Returns a message between gateways followed by its authentication tag; without keys, the message
+/// alone. \p nonce binds a reply to its query.
 std::string signMessage(const FleetKeys &keys, PeerMessageKind kind, std::string_view nonce,
                         std::string message);
 
-/// The message of what signMessage() made with the same kind and nonce; nothing when no key made
-/// the proof.
+/// Returns the message that signMessage() was given with the same kind and nonce; nothing when the
+/// tag is missing or was made with none of the keys. Without keys, \p bytes is the message.
 std::optional<std::string_view> verifyMessage(const FleetKeys &keys, PeerMessageKind kind,
                                               std::string_view nonce, std::string_view bytes);
 
--- a/src/peer/payload.h
+++ b/src/peer/payload.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Messages to and from payloads without a length ahead.
+/// Conversion between messages and payloads that have no length prefix.
 
 #pragma once
 
@@ -17,6 +17,7 @@
 
 namespace reachlead::pvt {
 
+/// Encodes \p parts one after the other.
 template <class... Parts> std::string encodePayload(const Parts &...parts)
 {
     std::string out;
@@ -25,7 +26,8 @@
     return out;
 }
 
-/// Reads the parts; false with \p reason set when the bytes are not exactly these.
+/// Decodes a payload into \p parts. Returns false and sets \p reason when the bytes are not exactly
+/// an encoding of these types.
 template <class... Parts>
 bool decodeParts(std::string_view payload, std::string *reason, Parts &...parts)
 {
@@ -34,14 +36,15 @@
         archive(parts...);
         if (archive.remaining() == 0)
             return true;
-        *reason = "bytes behind the message";
+        *reason = "unexpected bytes after the message";
     } catch (const std::exception &e) {
         *reason = e.what();
     }
     return false;
 }
 
-/// One message; nothing with \p reason set for other bytes.
+/// Decodes one message. Returns nothing and sets \p reason when the bytes are not an encoding of
+/// it.
 template <class Message>
 std::optional<Message> decodePayload(std::string_view payload, std::string *reason)
 {
