--- a/src/peer/dispatcher.cpp
+++ b/src/peer/dispatcher.cpp
@@ -18,12 +18,14 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-Dispatcher::Dispatcher(Options options, std::function<void(AnswerChannelPtr)> announce,
+Dispatcher::Dispatcher(Options options, std::function<void(AnswerChannelPtr)> onEvents,
                        std::function<void(std::vector<TargetName>)> onTargets)
-    : m_options(std::move(options)), m_announce(std::move(announce)),
+    : m_options(std::move(options)), m_onEvents(std::move(onEvents)),
       m_onTargets(std::move(onTargets)), m_work(m_io.get_executor()),
-      m_looks(m_options.maxOpenRequests * 2, [this] { asio::post(m_io, [this] { takeLooks(); }); }),
-      m_tick(m_io), m_heartbeats(m_io, udp::endpoint(asio::ip::make_address(m_options.address), 0))
+      m_changedChannels(m_options.maxOpenRequests * 2,
+                        [this] { asio::post(m_io, [this] { handleCallerStates(); }); }),
+      m_tick(m_io),
+      m_heartbeatSocket(m_io, udp::endpoint(asio::ip::make_address(m_options.address), 0))
 {
     m_core = RouterCore::Builder()
                  .zone(m_options.zone)
@@ -34,25 +36,25 @@
                  .build();
     for (auto &ring : m_arrivals) {
         ring = std::make_unique<ArrivalRing>(
-            arrivalsPerTier, [this] { asio::post(m_io, [this] { takeArrivals(); }); });
+            arrivalRingSize, [this] { asio::post(m_io, [this] { handleArrivals(); }); });
     }
     m_context.vm = m_options.vm;
     m_context.incarnation = m_options.incarnation;
-    m_context.heartbeatPort = m_heartbeats.local_endpoint().port();
+    m_context.heartbeatPort = m_heartbeatSocket.local_endpoint().port();
     m_context.counters = m_options.counters;
     m_context.keys = m_options.keys;
     m_context.onUp = [this](const Welcome &welcome) {
         m_core->agentConnected(welcome, RuntimeClock::now());
-        act();
-        tellTargets();
+        performActions();
+        reportTargets();
     };
     m_context.onDown = [this](const VmName &agent) {
         m_core->agentDisconnected(agent, RuntimeClock::now());
-        act();
+        performActions();
     };
     m_context.onMessage = [this](const VmName &agent, const ToRouter &message) {
         m_core->agentMessage(agent, message, RuntimeClock::now());
-        act();
+        performActions();
     };
     m_thread = std::thread([this] { run(); });
 }
@@ -65,11 +67,13 @@
         m_links.clear();
         m_tick.cancel();
         boost::system::error_code ignored;
-        m_heartbeats.close(ignored);
+        m_heartbeatSocket.close(ignored);
         m_work.reset();
-        // Links write their last frames first; anything that still hangs is cut here.
-        auto limit = std::make_shared<Timer>(m_io, milliseconds(200));
-        limit->async_wait([this, limit](boost::system::error_code) { m_io.stop(); });
+        // Links first write their queued frames; a connection still open after that is closed by
+        // stopping the loop.
+        auto shutdownTimer = std::make_shared<Timer>(m_io, milliseconds(200));
+        shutdownTimer->async_wait(
+            [this, shutdownTimer](boost::system::error_code) { m_io.stop(); });
     });
     m_thread.join();
 }
@@ -77,28 +81,29 @@
 void Dispatcher::run()
 {
     scheduleTick();
-    readHeartbeat();
+    receiveHeartbeat();
     m_io.run();
 }
 
-bool Dispatcher::submit(Tier tier, CallerRequest request, AnswerChannelPtr slot)
+bool Dispatcher::submit(Tier tier, CallerRequest request, AnswerChannelPtr channel)
 {
     ArrivalRing &ring = *m_arrivals.at(indexOf(tier));
-    if (ring.push({std::move(request), std::move(slot)}))
+    if (ring.push({std::move(request), std::move(channel)}))
         return true;
     m_options.counters->add(Counter::RingFull);
     return false;
 }
 
-void Dispatcher::callerStateChanged(const AnswerChannelPtr &slot)
+void Dispatcher::callerStateChanged(const AnswerChannelPtr &channel)
 {
-    if (!m_looks.push(slot))
+    if (!m_changedChannels.push(channel))
         m_options.counters->add(Counter::RingFull);
 }
 
 void Dispatcher::setMembers(std::vector<Member> members)
 {
-    // Ranked on the caller's thread: in a large fleet this takes longer than a dispatch may wait.
+    // Selected on the caller's thread, as in a large fleet this takes longer than a dispatch may
+    // be delayed.
     auto picked = pickAgents(members, m_options.vm, m_options.zone);
     asio::post(m_io, [this, members = std::move(members), picked = std::move(picked)] {
         applyMembers(members, picked);
@@ -115,33 +120,33 @@
     asio::post(m_io, [this] { m_core->stop(); });
 }
 
-/// Takes what arrived, the highest tier first.
-void Dispatcher::takeArrivals()
+/// Submits the pending requests to the core, highest tier first.
+void Dispatcher::handleArrivals()
 {
     const Time now = RuntimeClock::now();
     for (auto &ring : m_arrivals) {
         for (Arrival &arrival : ring->drain()) {
-            m_slots[arrival.request.id] = arrival.slot;
+            m_channels[arrival.request.id] = arrival.channel;
             m_core->submitRequest(std::move(arrival.request), now);
         }
     }
-    act();
+    performActions();
 }
 
-void Dispatcher::takeLooks()
+void Dispatcher::handleCallerStates()
 {
     const Time now = RuntimeClock::now();
-    for (const AnswerChannelPtr &slot : m_looks.drain()) {
-        const auto [gone, took] = slot->takeCallerState();
-        if (gone)
-            m_core->callerDisconnected(slot->id(), now);
-        else if (took > 0)
-            m_core->callerConsumed(slot->id(), took);
+    for (const AnswerChannelPtr &channel : m_changedChannels.drain()) {
+        const auto [isDisconnected, consumedTokens] = channel->takeCallerState();
+        if (isDisconnected)
+            m_core->callerDisconnected(channel->id(), now);
+        else if (consumedTokens > 0)
+            m_core->callerConsumed(channel->id(), consumedTokens);
     }
-    act();
+    performActions();
 }
 
-void Dispatcher::act()
+void Dispatcher::performActions()
 {
     for (RouterAction &action : m_core->takeActions())
         std::visit([this](auto &a) { perform(a); }, action);
@@ -149,20 +154,20 @@
 
 void Dispatcher::perform(SendToCaller &action)
 {
-    const auto it = m_slots.find(action.id);
-    if (it == m_slots.end())
+    const auto it = m_channels.find(action.id);
+    if (it == m_channels.end())
         return;
-    const AnswerChannelPtr slot = it->second;
+    const AnswerChannelPtr channel = it->second;
     if (std::holds_alternative<AnswerResult>(action.event))
-        m_slots.erase(it);
-    if (slot->put(std::move(action.event)))
-        m_announce(slot);
+        m_channels.erase(it);
+    if (channel->put(std::move(action.event)))
+        m_onEvents(channel);
 }
 
 void Dispatcher::perform(SendToAgent &action)
 {
     const auto it = m_links.find(action.agent);
-    // A link that is down has told the core, which asks again once it is up.
+    // A link that is down has notified the core, which queries the agent after the reconnect.
     if (it != m_links.end())
         it->second->send(action.message);
 }
@@ -179,17 +184,18 @@
     const Time now = RuntimeClock::now();
     std::map<VmName, Member> agents;
     for (const Member &member : members) {
-        // A session is kept while its requests run, also when another router has the agent now.
-        const bool busy = m_links.contains(member.vm) && m_core->requestsAt(member.vm) > 0;
-        if (member.role == MemberRole::Agent && (picked.contains(member.vm) || busy))
+        // A session is kept while it has running requests, even if the agent is no longer assigned
+        // to this router.
+        const bool hasRequests = m_links.contains(member.vm) && m_core->requestsAt(member.vm) > 0;
+        if (member.role == MemberRole::Agent && (picked.contains(member.vm) || hasRequests))
             agents.emplace(member.vm, member);
     }
     std::erase_if(m_links, [&](auto &entry) {
         const auto it = agents.find(entry.first);
         const Member &old = entry.second->member();
-        const bool moved = it != agents.end()
+        const bool hasMoved = it != agents.end()
             && (it->second.address != old.address || it->second.port != old.port);
-        if (it != agents.end() && !moved)
+        if (it != agents.end() && !hasMoved)
             return false;
         entry.second->remove();
         m_core->removeAgent(entry.first, now);
@@ -202,22 +208,22 @@
         }
         m_core->setAgentLeaving(name, member.leaving, now);
     }
-    shareLimits(members);
-    act();
-    tellTargets();
+    updateLimitShare(members);
+    performActions();
+    reportTargets();
 }
 
-void Dispatcher::tellTargets()
+void Dispatcher::reportTargets()
 {
     std::vector<TargetName> targets = m_core->targets();
-    if (targets == m_targetsTold)
+    if (targets == m_reportedTargets)
         return;
-    m_targetsTold = targets;
+    m_reportedTargets = targets;
     m_onTargets(std::move(targets));
 }
 
-/// Each router enforces an equal part of every account's limits.
-void Dispatcher::shareLimits(const std::vector<Member> &members)
+/// Each router enforces an equal share of every account's limits.
+void Dispatcher::updateLimitShare(const std::vector<Member> &members)
 {
     const auto routers = std::ranges::count_if(members, [](const Member &member) {
         return member.role == MemberRole::Router && !member.leaving;
@@ -232,30 +238,31 @@
         if (ec)
             return;
         m_core->tick(RuntimeClock::now());
-        act();
+        performActions();
         scheduleTick();
     });
 }
 
-void Dispatcher::readHeartbeat()
+void Dispatcher::receiveHeartbeat()
 {
-    m_heartbeats.async_receive_from(
-        asio::buffer(m_heartbeatBytes), m_heartbeatFrom,
+    m_heartbeatSocket.async_receive_from(
+        asio::buffer(m_heartbeatBuffer), m_heartbeatSender,
         [this](boost::system::error_code ec, std::size_t n) {
             if (ec == asio::error::operation_aborted)
                 return;
             std::string reason;
-            const auto beat =
-                decodeHeartbeat(std::string_view(m_heartbeatBytes.data(), ec ? 0 : n), &reason);
-            const bool good = beat && beat->version == protocolVersion
-                && m_options.keys->keys().verify(heartbeatSigningInput(*beat), beat->proof);
-            if (good) {
-                m_core->heartbeat(*beat, RuntimeClock::now());
-                act();
+            const auto heartbeat =
+                decodeHeartbeat(std::string_view(m_heartbeatBuffer.data(), ec ? 0 : n), &reason);
+            const bool isAuthentic = heartbeat && heartbeat->version == protocolVersion
+                && m_options.keys->keys().verify(heartbeatSigningInput(*heartbeat),
+                                                 heartbeat->proof);
+            if (isAuthentic) {
+                m_core->heartbeat(*heartbeat, RuntimeClock::now());
+                performActions();
             } else {
                 m_options.counters->add(Counter::HostileFrames);
             }
-            readHeartbeat();
+            receiveHeartbeat();
         });
 }
 
--- a/src/peer/sessionserver.cpp
+++ b/src/peer/sessionserver.cpp
@@ -16,10 +16,10 @@
 using asio::ip::tcp;
 using asio::ip::udp;
 
-SessionServer::SessionServer(Options options, ActionHandlers outlets)
-    : m_options(std::move(options)), m_outlets(std::move(outlets)), m_work(m_io.get_executor()),
+SessionServer::SessionServer(Options options, ActionHandlers handlers)
+    : m_options(std::move(options)), m_handlers(std::move(handlers)), m_work(m_io.get_executor()),
       m_acceptor(m_io, tcp::endpoint(asio::ip::make_address(m_options.address), m_options.port)),
-      m_heartbeats(m_io, udp::endpoint(asio::ip::make_address(m_options.address), 0)),
+      m_heartbeatSocket(m_io, udp::endpoint(asio::ip::make_address(m_options.address), 0)),
       m_port(m_acceptor.local_endpoint().port()), m_tick(m_io)
 {
     m_core = AgentCore::Builder()
@@ -30,7 +30,7 @@
                  .tuning(m_options.tuning)
                  .counters(m_options.counters)
                  .build();
-    m_heartbeats.non_blocking(true);
+    m_heartbeatSocket.non_blocking(true);
     m_thread = std::thread([this] { run(); });
 }
 
@@ -43,8 +43,9 @@
         for (auto &[id, connection] : m_connections)
             connection->closeWhenWritten();
         m_work.reset();
-        auto limit = std::make_shared<Timer>(m_io, milliseconds(200));
-        limit->async_wait([this, limit](boost::system::error_code) { m_io.stop(); });
+        auto shutdownTimer = std::make_shared<Timer>(m_io, milliseconds(200));
+        shutdownTimer->async_wait(
+            [this, shutdownTimer](boost::system::error_code) { m_io.stop(); });
     });
     m_thread.join();
 }
@@ -60,7 +61,7 @@
 {
     asio::post(m_io, [this, change = std::move(change)] {
         change(*m_core);
-        act();
+        performActions();
     });
 }
 
@@ -70,37 +71,37 @@
         if (ec == asio::error::operation_aborted)
             return;
         if (!ec)
-            serve(std::move(socket));
+            startSession(std::move(socket));
         accept();
     });
 }
 
-void SessionServer::serve(tcp::socket socket)
+void SessionServer::startSession(tcp::socket socket)
 {
     const SessionId session{++m_lastSession};
     const auto connection = std::make_shared<FrameConnection>(std::move(socket));
     m_connections[session] = connection;
     connection->start(
-        [this, session](std::string_view payload) { return takeFrame(session, payload); },
+        [this, session](std::string_view payload) { return handleFrame(session, payload); },
         [this, session](const std::string &reason) {
             LogLine(LogLevel::Info, "session-closed")
                 .with("session", static_cast<std::uint64_t>(session))
                 .with("reason", reason);
             m_connections.erase(session);
-            m_ownNonces.erase(session);
+            m_agentNonces.erase(session);
             m_routerNonces.erase(session);
             m_core->sessionClosed(session, RuntimeClock::now());
-            act();
+            performActions();
         });
     constexpr std::size_t nonceBytes = 16;
-    m_ownNonces[session] = randomHex(nonceBytes);
-    connection->send(ToRouter(Challenge{m_ownNonces[session]}));
+    m_agentNonces[session] = randomHex(nonceBytes);
+    connection->send(ToRouter(Challenge{m_agentNonces[session]}));
 }
 
-/// Checks a router's proof before the core sees anything of it.
-bool SessionServer::belongsToFleet(SessionId session, const Hello &hello)
+/// Verifies a router's proof of fleet membership before the core receives its Hello.
+bool SessionServer::verifyHello(SessionId session, const Hello &hello)
 {
-    const std::string text = helloSigningInput(m_ownNonces[session], m_options.vm, hello);
+    const std::string text = helloSigningInput(m_agentNonces[session], m_options.vm, hello);
     if (!m_options.keys->keys().verify(text, hello.proof)) {
         m_options.counters->add(Counter::HostileFrames);
         LogLine(LogLevel::Error, "router-not-of-the-fleet").with("router", hello.vm.text);
@@ -110,7 +111,7 @@
     return true;
 }
 
-bool SessionServer::takeFrame(SessionId session, std::string_view payload)
+bool SessionServer::handleFrame(SessionId session, std::string_view payload)
 {
     std::string reason;
     const std::optional<ToAgent> message = decodeToAgent(payload, &reason);
@@ -122,14 +123,14 @@
         return false;
     }
     const auto *hello = std::get_if<Hello>(&*message);
-    if (hello && !belongsToFleet(session, *hello))
+    if (hello && !verifyHello(session, *hello))
         return false;
     m_core->message(session, *message, RuntimeClock::now());
-    act();
+    performActions();
     return true;
 }
 
-void SessionServer::act()
+void SessionServer::performActions()
 {
     for (AgentAction &action : m_core->takeActions())
         std::visit([this](auto &a) { perform(a); }, action);
@@ -145,7 +146,7 @@
         welcome->proof = m_options.keys->keys().sign(text);
     }
     it->second->send(action.message);
-    m_spoke.insert(action.session);
+    m_sentSinceHeartbeat.insert(action.session);
 }
 
 void SessionServer::perform(CloseSession &action)
@@ -157,22 +158,22 @@
 
 void SessionServer::perform(StartUpstreamCall &action)
 {
-    m_outlets.start(action);
+    m_handlers.start(action);
 }
 
 void SessionServer::perform(CancelUpstreamCall &action)
 {
-    m_outlets.cancel(action);
+    m_handlers.cancel(action);
 }
 
 void SessionServer::perform(MakeClaim &action)
 {
-    m_outlets.claim(action);
+    m_handlers.claim(action);
 }
 
 void SessionServer::perform(ReleaseClaim &action)
 {
-    m_outlets.release(action);
+    m_handlers.release(action);
 }
 
 void SessionServer::scheduleTick()
@@ -183,37 +184,38 @@
             return;
         const Time now = RuntimeClock::now();
         m_core->tick(now);
-        act();
-        if (now - m_beatAt >= beatInterval) {
-            m_beatAt = now;
-            beat();
+        performActions();
+        if (now - m_heartbeatAt >= heartbeatInterval) {
+            m_heartbeatAt = now;
+            sendHeartbeats();
         }
         scheduleTick();
     });
 }
 
-/// Sends a datagram to each router that got no frame since the last time: a frame says as much. A
-/// full socket buffer loses it, as the network may.
-void SessionServer::beat()
+/// Sends a heartbeat to each router that was sent no frame since the last one, as a frame also
+/// shows that the agent is alive. A datagram may be lost in a full socket buffer, as it may in the
+/// network.
+void SessionServer::sendHeartbeats()
 {
-    ++m_beatSequence;
-    const std::set<SessionId> spoke = std::exchange(m_spoke, {});
+    ++m_heartbeatSequence;
+    const std::set<SessionId> sentSinceHeartbeat = std::exchange(m_sentSinceHeartbeat, {});
     for (const auto &[session, port] : m_core->heartbeatPorts()) {
         const auto it = m_connections.find(session);
-        if (it == m_connections.end() || spoke.contains(session))
+        if (it == m_connections.end() || sentSinceHeartbeat.contains(session))
             continue;
-        Heartbeat beat;
-        beat.vm = m_options.vm;
-        beat.incarnation = m_options.incarnation;
-        beat.sequence = m_beatSequence;
-        beat.load = m_core->load(session);
-        beat.proof = m_options.keys->keys().sign(heartbeatSigningInput(beat));
+        Heartbeat heartbeat;
+        heartbeat.vm = m_options.vm;
+        heartbeat.incarnation = m_options.incarnation;
+        heartbeat.sequence = m_heartbeatSequence;
+        heartbeat.load = m_core->load(session);
+        heartbeat.proof = m_options.keys->keys().sign(heartbeatSigningInput(heartbeat));
         boost::system::error_code ec;
         const auto address = asio::ip::make_address(it->second->remoteAddress(), ec);
         if (ec)
             continue;
-        m_heartbeats.send_to(asio::buffer(encodeHeartbeat(beat)), udp::endpoint(address, port), 0,
-                             ec);
+        m_heartbeatSocket.send_to(asio::buffer(encodeHeartbeat(heartbeat)),
+                                  udp::endpoint(address, port), 0, ec);
         if (!ec)
             m_options.counters->add(Counter::HeartbeatsSent);
     }
--- a/src/peer/sessionserver.h
+++ b/src/peer/sessionserver.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The agent's gate thread: the core, the sessions with routers, and the heartbeats.
+/// The session thread of an agent, which runs its core, its sessions with routers and the sending
+/// of heartbeats.
 
 #pragma once
 
@@ -36,13 +37,13 @@
         TargetName target;
         Incarnation incarnation;
         AgentTuning tuning;
-        std::string address = "127.0.0.1"; ///< IP number to listen at
+        std::string address = "127.0.0.1"; ///< local IP address to listen on
         std::uint16_t port = 0; ///< 0: the kernel chooses
         FleetKeyFile *keys = nullptr; ///< must outlive the server
         Counters *counters = nullptr;
     };
 
-    /// Where the actions for other threads go; called on the gate thread.
+    /// Handlers of the core's actions that concern other threads. Called on the session thread.
     struct ActionHandlers
     {
         std::function<void(const StartUpstreamCall &)> start;
@@ -51,18 +52,18 @@
         std::function<void(const ReleaseClaim &)> release;
     };
 
-    SessionServer(Options options, ActionHandlers outlets);
+    SessionServer(Options options, ActionHandlers handlers);
     ~SessionServer();
 
-    /// Runs \p change on the gate thread with the core, then does what it asks for.
+    /// Runs \p change on the session thread with the core, then performs the resulting actions.
     void post(std::function<void(AgentCore &)> change);
 
-    /// Runs \p question on the gate thread and gives its answer.
-    template <class Answer> std::future<Answer> query(std::function<Answer(AgentCore &)> question)
+    /// Runs \p function on the session thread with the core and returns its result.
+    template <class Result> std::future<Result> query(std::function<Result(AgentCore &)> function)
     {
-        auto promise = std::make_shared<std::promise<Answer>>();
-        post([promise, question = std::move(question)](AgentCore &core) {
-            promise->set_value(question(core));
+        auto promise = std::make_shared<std::promise<Result>>();
+        post([promise, function = std::move(function)](AgentCore &core) {
+            promise->set_value(function(core));
         });
         return promise->get_future();
     }
@@ -71,14 +72,14 @@
 
 private:
     static constexpr Duration tickInterval = milliseconds(5);
-    static constexpr Duration beatInterval = seconds(1);
+    static constexpr Duration heartbeatInterval = seconds(1);
 
     void run();
     void accept();
-    void serve(boost::asio::ip::tcp::socket socket);
-    bool takeFrame(SessionId session, std::string_view payload);
-    bool belongsToFleet(SessionId session, const Hello &hello);
-    void act();
+    void startSession(boost::asio::ip::tcp::socket socket);
+    bool handleFrame(SessionId session, std::string_view payload);
+    bool verifyHello(SessionId session, const Hello &hello);
+    void performActions();
     void perform(SendToRouter &action);
     void perform(CloseSession &action);
     void perform(StartUpstreamCall &action);
@@ -86,23 +87,23 @@
     void perform(MakeClaim &action);
     void perform(ReleaseClaim &action);
     void scheduleTick();
-    void beat();
+    void sendHeartbeats();
 
     Options m_options;
-    ActionHandlers m_outlets;
+    ActionHandlers m_handlers;
     boost::asio::io_context m_io{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     std::unique_ptr<AgentCore> m_core;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    boost::asio::ip::udp::socket m_heartbeats;
+    boost::asio::ip::udp::socket m_heartbeatSocket;
     std::uint16_t m_port = 0;
     std::map<SessionId, std::shared_ptr<FrameConnection>> m_connections;
-    std::map<SessionId, std::string> m_ownNonces; ///< signed by the routers
-    std::map<SessionId, std::string> m_routerNonces; ///< to be signed by us
-    std::set<SessionId> m_spoke; ///< sessions that got a frame since the last heartbeat
+    std::map<SessionId, std::string> m_agentNonces; ///< signed in the router's Hello
+    std::map<SessionId, std::string> m_routerNonces; ///< signed in the agent's Welcome
+    std::set<SessionId> m_sentSinceHeartbeat; ///< sessions that were sent a frame
     std::uint64_t m_lastSession = 0;
-    std::uint64_t m_beatSequence = 0;
-    Time m_beatAt{};
+    std::uint64_t m_heartbeatSequence = 0;
+    Time m_heartbeatAt{};
     Timer m_tick;
     std::thread m_thread;
 };
