--- a/src/peer/gatewaymessages.cpp
+++ b/src/peer/gatewaymessages.cpp
@@ -15,24 +15,24 @@
 
 std::vector<CompactLoad> compactLoad(const LoadByUpstream &load)
 {
-    const auto bounded = [](std::uint64_t n) {
-        constexpr std::uint64_t most = std::numeric_limits<std::uint16_t>::max();
-        return static_cast<std::uint16_t>(std::min(n, most));
+    const auto saturate = [](std::uint64_t n) {
+        constexpr std::uint64_t maxValue = std::numeric_limits<std::uint16_t>::max();
+        return static_cast<std::uint16_t>(std::min(n, maxValue));
     };
-    std::vector<CompactLoad> tagged;
-    for (const auto &[id, at] : load) {
+    std::vector<CompactLoad> compact;
+    for (const auto &[id, entry] : load) {
         const std::uint64_t units =
-            (at.prefillTokens + CompactLoad::tokensPerUnit - 1) / CompactLoad::tokensPerUnit;
-        tagged.push_back(
-            {upstreamHash(id), bounded(at.running), bounded(units), bounded(at.shortPrompts)});
+            (entry.prefillTokens + CompactLoad::tokensPerUnit - 1) / CompactLoad::tokensPerUnit;
+        compact.push_back({upstreamHash(id), saturate(entry.running), saturate(units),
+                           saturate(entry.shortPrompts)});
     }
-    const auto weight = [](const CompactLoad &at) {
-        return std::pair(at.prefillUnits, at.running);
+    const auto sortKey = [](const CompactLoad &entry) {
+        return std::pair(entry.prefillUnits, entry.running);
     };
-    std::ranges::sort(tagged, std::ranges::greater(), weight);
-    if (tagged.size() > maxReportedLoads)
-        tagged.resize(maxReportedLoads);
-    return tagged;
+    std::ranges::sort(compact, std::ranges::greater(), sortKey);
+    if (compact.size() > maxReportedLoads)
+        compact.resize(maxReportedLoads);
+    return compact;
 }
 
 std::uint32_t vmHash(const VmName &vm)
@@ -40,64 +40,66 @@
     return XXH32(vm.text.data(), vm.text.size(), 0);
 }
 
-std::vector<CompactHint> compactHints(const std::vector<PromptHint> &notes)
+std::vector<CompactHint> compactHints(const std::vector<PromptHint> &hints)
 {
-    std::vector<CompactHint> tagged;
-    std::ranges::transform(notes, std::back_inserter(tagged), [](const PromptHint &note) {
-        return CompactHint{upstreamHash(note.upstream), note.key};
+    std::vector<CompactHint> compact;
+    std::ranges::transform(hints, std::back_inserter(compact), [](const PromptHint &hint) {
+        return CompactHint{upstreamHash(hint.upstream), hint.key};
     });
-    return tagged;
+    return compact;
 }
 
 LoadByUpstream expandLoad(const std::vector<CompactLoad> &load, const UpstreamDirectory &directory)
 {
-    LoadByUpstream known;
-    for (const CompactLoad &at : load) {
-        if (const UpstreamEntry *entry = directory.findByHash(at.upstream))
-            known[entry->id] = {at.running, at.prefillUnits * CompactLoad::tokensPerUnit,
-                                at.shortPrompts};
+    LoadByUpstream expanded;
+    for (const CompactLoad &compact : load) {
+        if (const UpstreamEntry *entry = directory.findByHash(compact.upstream))
+            expanded[entry->id] = {compact.running,
+                                   compact.prefillUnits * CompactLoad::tokensPerUnit,
+                                   compact.shortPrompts};
     }
-    return known;
+    return expanded;
 }
 
-std::vector<PromptHint> expandHints(const std::vector<CompactHint> &notes,
+std::vector<PromptHint> expandHints(const std::vector<CompactHint> &hints,
                                     const UpstreamDirectory &directory)
 {
-    std::vector<PromptHint> known;
-    for (const CompactHint &note : notes) {
-        if (const UpstreamEntry *entry = directory.findByHash(note.upstream))
-            known.push_back({entry->id, note.key});
+    std::vector<PromptHint> expanded;
+    for (const CompactHint &hint : hints) {
+        if (const UpstreamEntry *entry = directory.findByHash(hint.upstream))
+            expanded.push_back({entry->id, hint.key});
     }
-    return known;
+    return expanded;
 }
 
-std::vector<CompactLimit> compactLimits(const std::vector<LimitUpdate> &notes)
+std::vector<CompactLimit> compactLimits(const std::vector<LimitUpdate> &updates)
 {
-    std::vector<CompactLimit> tagged;
-    std::ranges::transform(notes, std::back_inserter(tagged), [](const LimitUpdate &note) {
-        return CompactLimit{upstreamHash(note.upstream), note.limit.value_or(CompactLimit::noLimit),
-                            note.timestamp};
+    std::vector<CompactLimit> compact;
+    std::ranges::transform(updates, std::back_inserter(compact), [](const LimitUpdate &update) {
+        return CompactLimit{upstreamHash(update.upstream),
+                            update.limit.value_or(CompactLimit::noLimit), update.timestamp};
     });
-    return tagged;
+    return compact;
 }
 
 std::vector<LimitUpdate> expandLimits(const std::vector<CompactLimit> &limits,
                                       const UpstreamDirectory &directory)
 {
-    std::vector<LimitUpdate> notes;
-    for (const CompactLimit &it : limits) {
-        const UpstreamEntry *entry = directory.findByHash(it.upstream);
+    std::vector<LimitUpdate> updates;
+    for (const CompactLimit &compact : limits) {
+        const UpstreamEntry *entry = directory.findByHash(compact.upstream);
         if (entry == nullptr)
             continue;
-        const bool isOver = it.limit == CompactLimit::noLimit;
-        notes.push_back({entry->id, isOver ? std::nullopt : std::optional(it.limit), it.timestamp});
+        const bool hasEnded = compact.limit == CompactLimit::noLimit;
+        updates.push_back(
+            {entry->id, hasEnded ? std::nullopt : std::optional(compact.limit), compact.timestamp});
     }
-    return notes;
+    return updates;
 }
 
-std::string encodeGatewayHeartbeat(const GatewayHeartbeat &beat)
+std::string encodeGatewayHeartbeat(const GatewayHeartbeat &heartbeat)
 {
-    return pvt::encodePayload(beat);
+    return pvt::encodePayload(heartbeat);
 }
 
 std::optional<GatewayHeartbeat> decodeGatewayHeartbeat(std::string_view payload,
@@ -106,9 +108,9 @@
     return pvt::decodePayload<GatewayHeartbeat>(payload, reason);
 }
 
-std::string encodeStateQuery(const StateQuery &ask)
+std::string encodeStateQuery(const StateQuery &query)
 {
-    return pvt::encodePayload(ask);
+    return pvt::encodePayload(query);
 }
 
 std::optional<StateQuery> decodeStateQuery(std::string_view payload, std::string *reason)
@@ -116,19 +118,19 @@
     return pvt::decodePayload<StateQuery>(payload, reason);
 }
 
-std::string encodeStateUpdate(const StateUpdate &news)
+std::string encodeStateUpdate(const StateUpdate &update)
 {
-    return pvt::encodePayload(news.config, news.configChange, news.registry, news.evacuations,
-                              news.roster);
+    return pvt::encodePayload(update.config, update.configChange, update.registry,
+                              update.evacuations, update.roster);
 }
 
 std::optional<StateUpdate> decodeStateUpdate(std::string_view payload, std::string *reason)
 {
-    StateUpdate news;
-    if (!pvt::decodeParts(payload, reason, news.config, news.configChange, news.registry,
-                          news.evacuations, news.roster))
+    StateUpdate update;
+    if (!pvt::decodeParts(payload, reason, update.config, update.configChange, update.registry,
+                          update.evacuations, update.roster))
         return std::nullopt;
-    return news;
+    return update;
 }
 
 } // namespace reachlead
--- a/src/peer/gatewaymessages.h
+++ b/src/peer/gatewaymessages.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What gateways tell each other: small datagrams all the time, a whole state when one is behind.
+/// Messages between gateways: frequent small heartbeats as datagrams, and the exchange of state
+/// when one gateway is behind.
 
 #pragma once
 
@@ -18,13 +19,15 @@
 
 namespace reachlead {
 
-/// The load that a gateway causes at one upstream, short: beats are the most of what gateways send.
+/// Compact form of the load that a gateway causes at one upstream, as heartbeats are most of the
+/// traffic between gateways.
 struct CompactLoad
 {
     UpstreamHash upstream = 0;
-    std::uint16_t running = 0; ///< the most that fits where there is more
-    std::uint16_t prefillUnits = 0; ///< in units of tokensPerUnit, rounded up
-    std::uint16_t shortPrompts = 0; ///< of those that run, with a short prompt
+    std::uint16_t running = 0; ///< saturates
+    std::uint16_t prefillUnits =
+        0; ///< prefill tokens in units of tokensPerUnit, rounded up; saturates
+    std::uint16_t shortPrompts = 0; ///< running requests with a short prompt; saturates
 
     static constexpr std::uint64_t tokensPerUnit = 64;
 
@@ -34,7 +37,7 @@
     }
 };
 
-/// Where a part of a prompt was placed, short.
+/// Compact form of a hint about where part of a prompt was placed.
 struct CompactHint
 {
     UpstreamHash upstream = 0;
@@ -43,78 +46,79 @@
     template <class Archive> void serialize(Archive &ar) { ar(upstream, key); }
 };
 
-/// The short forms, the largest loads first where there are more than maxReportedLoads; and back,
-/// without those of upstreams that the directory does not know.
+/// Conversion to the compact form and back. Of more than maxReportedLoads loads, only the largest
+/// are converted. Entries whose upstream is not in the directory are not converted back.
 std::vector<CompactLoad> compactLoad(const LoadByUpstream &load);
-std::vector<CompactHint> compactHints(const std::vector<PromptHint> &notes);
+std::vector<CompactHint> compactHints(const std::vector<PromptHint> &hints);
 LoadByUpstream expandLoad(const std::vector<CompactLoad> &load, const UpstreamDirectory &directory);
-std::vector<PromptHint> expandHints(const std::vector<CompactHint> &notes,
+std::vector<PromptHint> expandHints(const std::vector<CompactHint> &hints,
                                     const UpstreamDirectory &directory);
 
-/// What was heard of an upstream's limit, short.
+/// Compact form of a change of an upstream's limit.
 struct CompactLimit
 {
     UpstreamHash upstream = 0;
-    CallRate limit; ///< noLimit: it is over
-    UnixMillis timestamp = 0; ///< as in LimitUpdate
+    CallRate limit; ///< noLimit: the limit has ended
+    UnixMillis timestamp = 0; ///< see LimitUpdate
 
     static constexpr CallRate noLimit{std::numeric_limits<std::uint32_t>::max()};
 
     template <class Archive> void serialize(Archive &ar) { ar(upstream, limit, timestamp); }
 };
 
-/// The short forms, and back without those of upstreams that the directory does not know.
-std::vector<CompactLimit> compactLimits(const std::vector<LimitUpdate> &notes);
+/// Conversion to the compact form and back, without upstreams that are not in the directory.
+std::vector<CompactLimit> compactLimits(const std::vector<LimitUpdate> &updates);
 std::vector<LimitUpdate> expandLimits(const std::vector<CompactLimit> &limits,
                                       const UpstreamDirectory &directory);
 
-/// Limits in one message: 0.13 KB.
+/// Maximum number of limits in one message: 0.13 KB.
 inline constexpr std::size_t maxReportedLimits = 8;
 
-/// Upstreams that leave, in one message: 0.1 KB. By their ids, as the mistake of a tag would take
-/// another upstream out of use for good.
+/// Maximum number of leaving upstreams in one message: 0.1 KB. They are named by id, since a hash
+/// collision would take another upstream out of service permanently.
 inline constexpr std::size_t maxReportedLeaving = 4;
 
-/// Upstreams in one beat: 0.6 KB.
+/// Maximum number of upstream loads in one heartbeat: 0.6 KB.
 inline constexpr std::size_t maxReportedLoads = 64;
 
-/// A gateway that the sender knows to live, short.
+/// Compact form of a gateway that the sender knows to be alive.
 struct CompactLiveGateway
 {
-    std::uint32_t vm = 0; ///< as vmHash()
-    std::uint8_t ageTenths = 0; ///< of a second since it was heard, by whomever; rounded up
+    std::uint32_t vm = 0; ///< see vmHash()
+    std::uint8_t ageTenths = 0; ///< time since a gateway received from it, in 0.1 s, rounded up
 
     template <class Archive> void serialize(Archive &ar) { ar(vm, ageTenths); }
 };
 
-/// Stands for a gateway's name where a mix-up does no harm.
+/// Short hash of a gateway's name, for uses where a collision is harmless.
 std::uint32_t vmHash(const VmName &vm);
 
-/// Lives in one beat: 0.1 KB. Some twelve beats a second then tell of 300 gateways.
+/// Maximum number of live gateways in one heartbeat: 0.1 KB. With about twelve
+/// heartbeats a second, these cover 300 gateways.
 inline constexpr std::size_t maxReportedGateways = 24;
 
-/// A datagram: who lives, what it knows, and the load that it causes.
+/// A datagram with the sender's versions, the load that it causes, and the live gateways it knows.
 struct GatewayHeartbeat
 {
     GatewayEntry from;
     Incarnation incarnation;
-    std::uint64_t sequence = 0; ///< rises with each beat of an incarnation
+    std::uint64_t sequence = 0; ///< increases with each message of an incarnation
     std::uint64_t configVersion = 0;
     std::uint64_t registryRevision = 0;
-    std::uint64_t evacuationRevision = 0; ///< as Evacuations::revision()
-    std::uint32_t evacuationChecksum = 0; ///< as Evacuations::mark()
-    std::uint64_t rosterRevision = 0; ///< as GatewayRoster::revision
-    std::int32_t ageMs = unknownAge; ///< of the state: since it was known to be current
-    UnixMillis clock = 0; ///< the sender's time of day
-    std::uint64_t quarantineChecksum = 0; ///< as CrashTracker::mark()
+    std::uint64_t evacuationRevision = 0; ///< see Evacuations::revision()
+    std::uint32_t evacuationChecksum = 0; ///< see Evacuations::checksum()
+    std::uint64_t rosterRevision = 0; ///< see GatewayRoster::revision
+    std::int32_t ageMs = unknownAge; ///< time since the state was last known to be current
+    UnixMillis clock = 0; ///< time of day at the sender
+    std::uint64_t quarantineChecksum = 0; ///< see CrashTracker::checksum()
     std::vector<CompactLoad> load;
-    QueryId oldestPendingQuery = 0; ///< as in ReportedLoad
-    std::vector<CompactHint> hints; ///< placed lately
-    std::vector<CompactLimit> limits; ///< some of those heard lately
-    std::vector<UpstreamId> leaving; ///< some that said so lately
-    std::vector<GatewayEntry> sample; ///< some gateways that the sender heard lately
+    QueryId oldestPendingQuery = 0; ///< see ReportedLoad
+    std::vector<CompactHint> hints; ///< of prompts placed recently
+    std::vector<CompactLimit> limits; ///< some of those received recently
+    std::vector<UpstreamId> leaving; ///< some that announced it recently
+    std::vector<GatewayEntry> sample; ///< some gateways that were recently alive
     std::vector<CompactLiveGateway>
-        liveGateways; ///< the same of more of them, where beats do not reach all
+        liveGateways; ///< more of them, where heartbeats do not reach all gateways
 
     static constexpr std::int32_t unknownAge = -1;
 
@@ -126,22 +130,23 @@
     }
 };
 
-/// Asks for what is newer than the asker's state.
+/// Requests everything newer than the querying gateway's state.
 struct StateQuery
 {
     StateVersions known;
-    std::uint64_t nonce = 0; ///< the proof of the answer is bound to it
+    std::uint64_t nonce = 0; ///< the reply's authentication tag is bound to it
 
     template <class Archive> void serialize(Archive &ar) { ar(known, nonce); }
 };
 
-/// Payloads without a length ahead. Decoding gives nothing with \p reason set for other bytes.
-std::string encodeGatewayHeartbeat(const GatewayHeartbeat &beat);
+/// Payloads without a length prefix. Decoding returns nothing and sets \p reason when the bytes are
+/// not such a message.
+std::string encodeGatewayHeartbeat(const GatewayHeartbeat &heartbeat);
 std::optional<GatewayHeartbeat> decodeGatewayHeartbeat(std::string_view payload,
                                                        std::string *reason);
-std::string encodeStateQuery(const StateQuery &ask);
+std::string encodeStateQuery(const StateQuery &query);
 std::optional<StateQuery> decodeStateQuery(std::string_view payload, std::string *reason);
-std::string encodeStateUpdate(const StateUpdate &news);
+std::string encodeStateUpdate(const StateUpdate &update);
 std::optional<StateUpdate> decodeStateUpdate(std::string_view payload, std::string *reason);
 
 } // namespace reachlead
--- a/src/peer/heartbeatbudget.cpp
+++ b/src/peer/heartbeatbudget.cpp
@@ -11,48 +11,51 @@
 
 namespace {
 
-/// Beats until each of the other gateways got one.
-std::size_t beatsInRound(std::size_t targets, std::size_t all)
+/// Number of heartbeats until each of the other gateways was sent one.
+std::size_t heartbeatsPerRound(std::size_t targetCount, std::size_t peerCount)
 {
-    const std::size_t each = std::max<std::size_t>(1, targets);
-    return (all + each - 1) / each;
+    const std::size_t divisor = std::max<std::size_t>(1, targetCount);
+    return (peerCount + divisor - 1) / divisor;
 }
 
 } // namespace
 
-double HeartbeatBudget::allowedRate(std::size_t bytes, std::size_t all) const
+double HeartbeatBudget::allowedRate(std::size_t heartbeatBytes, std::size_t peerCount) const
 {
-    const double perBeat = bytesPerSecond * toSeconds(interval);
-    const bool reachesAllInTwo = 2.0 * perBeat >= static_cast<double>(bytes * all);
+    const double bytesPerInterval = bytesPerSecond * toSeconds(interval);
+    const bool reachesAllInTwo =
+        2.0 * bytesPerInterval >= static_cast<double>(heartbeatBytes * peerCount);
     return reachesAllInTwo ? bytesPerSecond : largeFleetFraction * bytesPerSecond;
 }
 
-bool HeartbeatBudget::isDue(Duration elapsed, TokenCount untold, std::size_t bytes,
-                            std::size_t all) const
+bool HeartbeatBudget::isDue(Duration elapsed, TokenCount unreported, std::size_t heartbeatBytes,
+                            std::size_t peerCount) const
 {
-    const auto toBeSent = static_cast<double>(bytes * targetCount(bytes, all));
-    const bool isAffordable = toBeSent <= allowedRate(bytes, all) * toSeconds(elapsed);
-    return elapsed >= interval || (untold >= earlyReportTokens && isAffordable);
+    const auto bytesToSend =
+        static_cast<double>(heartbeatBytes * targetCount(heartbeatBytes, peerCount));
+    const bool isAffordable =
+        bytesToSend <= allowedRate(heartbeatBytes, peerCount) * toSeconds(elapsed);
+    return elapsed >= interval || (unreported >= earlyReportTokens && isAffordable);
 }
 
-std::size_t HeartbeatBudget::targetCount(std::size_t bytes, std::size_t all) const
+std::size_t HeartbeatBudget::targetCount(std::size_t heartbeatBytes, std::size_t peerCount) const
 {
-    const auto each = static_cast<double>(std::max<std::size_t>(1, bytes));
-    const auto affordable =
-        static_cast<std::size_t>(allowedRate(bytes, all) * toSeconds(interval) / each);
-    return std::min(all, std::max(minTargets, affordable));
+    const auto divisor = static_cast<double>(std::max<std::size_t>(1, heartbeatBytes));
+    const auto affordable = static_cast<std::size_t>(allowedRate(heartbeatBytes, peerCount)
+                                                     * toSeconds(interval) / divisor);
+    return std::min(peerCount, std::max(minTargets, affordable));
 }
 
-Duration HeartbeatBudget::hintWindow(std::size_t targets, std::size_t all) const
+Duration HeartbeatBudget::hintWindow(std::size_t targetCount, std::size_t peerCount) const
 {
-    const Duration round = interval * beatsInRound(targets, all);
+    const Duration round = interval * heartbeatsPerRound(targetCount, peerCount);
     return std::min<Duration>(UpstreamTable::hintWindow, round + interval);
 }
 
-Duration HeartbeatBudget::loadLifetime(std::size_t targets, std::size_t all) const
+Duration HeartbeatBudget::loadLifetime(std::size_t targetCount, std::size_t peerCount) const
 {
     return std::max<Duration>(UpstreamTable::peerLoadLifetime,
-                              2 * interval * beatsInRound(targets, all));
+                              2 * interval * heartbeatsPerRound(targetCount, peerCount));
 }
 
 } // namespace reachlead
--- a/src/peer/heartbeatbudget.h
+++ b/src/peer/heartbeatbudget.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How often a gateway tells the others of itself, how many of them at a time, and how long what it
-/// told counts: all within the bytes that control may take.
+/// How often a gateway sends heartbeats, to how many gateways at a time, and for how long their
+/// content is valid, within the bandwidth reserved for control traffic.
 
 #pragma once
 
@@ -14,51 +14,54 @@
 
 namespace reachlead {
 
-/// The rules of beats between gateways. Pure.
+/// Computes the rate, fan-out and validity of heartbeats between gateways. Has no state.
 ///
-/// Load pattern: calls are placed by what the others have sent meanwhile. In a fleet of 30 that
-/// told five others each 0.4 s a load was up to 2.4 s old, longer than any prompt waits.
+/// Calls are placed by the load that the other gateways have caused in the meantime. In a fleet of
+/// 30 gateways that each sent a heartbeat to five others every 0.4 s, a reported load was up to
+/// 2.4 s old, longer than any prompt waits.
 struct HeartbeatBudget
 {
-    /// Between beats. A change reaches a gateway that is cut off from the registry within two of
-    /// them and a fetch.
+    /// Time between heartbeats. A change reaches a gateway that is disconnected from the registry
+    /// within two intervals and a fetch.
     Duration interval = milliseconds(400);
 
-    /// What a gateway's beats may take where they reach all others within two of them, and twice
-    /// what they may take in a larger fleet: control has 15 KB/s of a VM at 480 gateways, and as
-    /// much is heard as is sent. A setting.
+    /// Bandwidth of a gateway's heartbeats while two of them reach all others. In a larger fleet
+    /// they may use largeFleetFraction of it: control traffic has 15 KB/s of a VM at 480 gateways,
+    /// and a gateway receives as much as it sends. A setting.
     double bytesPerSecond = 13'000.0;
 
-    /// Gateways that one beat goes to at least. What is new passes from one to the next: a change
-    /// reaches 480 gateways in four rounds.
+    /// Minimum number of gateways that one heartbeat is sent to. Changes are passed on from gateway
+    /// to gateway: with five targets, a change reaches 480 gateways in four rounds.
     static constexpr std::size_t minTargets = 5;
 
-    /// Prompt tokens to be read that are told before the next beat is due: two chunks of an engine,
-    /// beside which a stream's pause may be too long. Five gateways can afford it every 0.1 s.
+    /// With this many unreported prefill tokens a heartbeat is sent before the interval has
+    /// elapsed: two chunks of an engine, which may make the token gap of a concurrent stream too
+    /// long. The bandwidth of a fleet of five gateways allows this every 0.1 s.
     static constexpr TokenCount earlyReportTokens = 4096;
 
-    /// Between looks whether a beat is due.
+    /// Time between checks of whether a heartbeat is due.
     static constexpr Duration checkInterval = milliseconds(100);
 
-    /// True when a beat is due \p elapsed after one of \p bytes, with \p untold tokens sent to be
-    /// read since.
-    bool isDue(Duration elapsed, TokenCount untold, std::size_t bytes, std::size_t all) const;
+    /// True when a heartbeat is due \p elapsed after the last one, which had \p heartbeatBytes;
+    /// \p unreported is the number of prefill tokens sent since.
+    bool isDue(Duration elapsed, TokenCount unreported, std::size_t heartbeatBytes,
+               std::size_t peerCount) const;
 
-    /// Bytes a second that beats of this size may take.
-    double allowedRate(std::size_t bytes, std::size_t all) const;
+    /// Bandwidth, in bytes/s, of heartbeats of this size.
+    double allowedRate(std::size_t heartbeatBytes, std::size_t peerCount) const;
 
-    /// How many gateways a beat of this size goes to when there are \p all others.
-    std::size_t targetCount(std::size_t bytes, std::size_t all) const;
+    /// Number of gateways that a heartbeat of this size is sent to, out of \p peerCount others.
+    std::size_t targetCount(std::size_t heartbeatBytes, std::size_t peerCount) const;
 
-    /// Part of bytesPerSecond that a larger fleet's beats take.
+    /// Fraction of bytesPerSecond that heartbeats use in a larger fleet.
     static constexpr double largeFleetFraction = 0.5;
 
-    /// How long what is new is told, so that each of the others hears it, most of them once.
-    Duration hintWindow(std::size_t targets, std::size_t all) const;
+    /// How long a new hint is reported so that each other gateway receives it, most of them once.
+    Duration hintWindow(std::size_t targetCount, std::size_t peerCount) const;
 
-    /// How long a load that was told counts: two rounds over all gateways. Were it shorter than a
-    /// round, most of a large fleet's load would be taken for none.
-    Duration loadLifetime(std::size_t targets, std::size_t all) const;
+    /// How long a reported load is valid: two rounds over all gateways. If it were shorter than a
+    /// round, most of a large fleet's load would be assumed to be zero.
+    Duration loadLifetime(std::size_t targetCount, std::size_t peerCount) const;
 };
 
 } // namespace reachlead
