--- a/src/peer/gatewaypeers.cpp
+++ b/src/peer/gatewaypeers.cpp
@@ -26,14 +26,14 @@
 using asio::ip::udp;
 using boost::system::error_code;
 
-constexpr std::size_t mostDatagram = 8192; ///< bytes; a beat has about 1 KB at most
+constexpr std::size_t maxDatagramBytes = 8192; ///< a heartbeat has at most about 1 KB
 constexpr std::size_t sampleSize =
-    2; ///< gateways told in a beat: each learns of all in a few rounds
-constexpr std::size_t mostPeers = 2000; ///< about 200 bytes each
-constexpr Duration announcePause = milliseconds(50); ///< between beats out of turn
-/// Between two makings of the list of all others, which costs a look-up of each.
-constexpr Duration othersAge = seconds(2);
-constexpr Duration transit = milliseconds(20); ///< most that a beat is under way, as a rule
+    2; ///< gateways in a heartbeat; each gateway learns of all within a few rounds
+constexpr std::size_t maxPeers = 2000; ///< about 200 bytes each
+constexpr Duration minAnnounceInterval = milliseconds(50); ///< between heartbeats sent out of turn
+/// Age at which the list of the other gateways is rebuilt, which takes a lookup for each of them.
+constexpr Duration maxOtherGatewaysAge = seconds(2);
+constexpr Duration maxTransitTime = milliseconds(20); ///< usual upper bound of a heartbeat's delay
 
 auto keepError(error_code *ec)
 {
@@ -47,16 +47,16 @@
       m_acceptor(io,
                  tcp::endpoint(asio::ip::make_address(m_options.self.address.address),
                                m_options.self.address.port)),
-      m_udp(
+      m_udpSocket(
           io,
           udp::endpoint(m_acceptor.local_endpoint().address(), m_acceptor.local_endpoint().port()))
 {
     m_options.self.address.port = m_acceptor.local_endpoint().port();
-    m_turn = m_random() % mostPeers;
+    m_nextTarget = m_random() % maxPeers;
     m_time.recordClock(m_options.self.vm, vmTimeOfDay(), RuntimeClock::now());
     m_state.setTimeOfDay([this] { return timeOfDay(); });
-    asio::co_spawn(io, beatLoop(), asio::detached);
-    asio::co_spawn(io, hearLoop(), asio::detached);
+    asio::co_spawn(io, heartbeatLoop(), asio::detached);
+    asio::co_spawn(io, receiveLoop(), asio::detached);
     asio::co_spawn(io, acceptLoop(), asio::detached);
 }
 
@@ -64,7 +64,7 @@
 {
     m_stopped = true;
     error_code ec;
-    m_udp.close(ec);
+    m_udpSocket.close(ec);
     m_acceptor.close(ec);
 }
 
@@ -73,7 +73,7 @@
     const Time now = RuntimeClock::now();
     std::set<VmName> live;
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.heard + peerTimeout > now)
+        if (peer.lastSeen + peerTimeout > now)
             live.insert(vm);
     }
     return live;
@@ -84,22 +84,22 @@
     const Time now = RuntimeClock::now();
     std::map<VmName, GatewayEntry> live{{m_options.self.vm, m_options.self}};
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.heard + peerTimeout > now)
+        if (peer.lastSeen + peerTimeout > now)
             live.emplace(vm, peer.entry);
     }
     return live;
 }
 
-asio::awaitable<void> GatewayPeers::beatLoop()
+asio::awaitable<void> GatewayPeers::heartbeatLoop()
 {
     Timer timer(m_io);
     while (!m_stopped) {
-        sendBeats();
+        sendHeartbeats();
         const Time sent = RuntimeClock::now();
         const auto isNextDue = [&] {
             return m_options.heartbeats.isDue(RuntimeClock::now() - sent,
-                                              m_state.upstreams().unreportedTokens(), m_lastBytes,
-                                              m_peers.size());
+                                              m_state.upstreams().unreportedTokens(),
+                                              m_lastHeartbeatBytes, m_peers.size());
         };
         while (!m_stopped && !isNextDue()) {
             error_code ec;
@@ -110,139 +110,146 @@
     }
 }
 
-GatewayHeartbeat GatewayPeers::makeBeat()
+GatewayHeartbeat GatewayPeers::makeHeartbeat()
 {
-    GatewayHeartbeat beat;
-    beat.from = m_options.self;
-    beat.incarnation = m_incarnation;
-    beat.sequence = nextSequence();
-    beat.configVersion = m_state.configVersion();
-    beat.registryRevision = m_state.directory().revision();
-    beat.evacuationRevision = m_state.evacuations().revision();
-    beat.evacuationChecksum = m_state.evacuations().checksum();
-    beat.rosterRevision = m_state.roster().revision;
-    beat.clock = vmTimeOfDay();
-    m_time.recordClock(m_options.self.vm, beat.clock, RuntimeClock::now());
+    GatewayHeartbeat heartbeat;
+    heartbeat.from = m_options.self;
+    heartbeat.incarnation = m_incarnation;
+    heartbeat.sequence = nextSequence();
+    heartbeat.configVersion = m_state.configVersion();
+    heartbeat.registryRevision = m_state.directory().revision();
+    heartbeat.evacuationRevision = m_state.evacuations().revision();
+    heartbeat.evacuationChecksum = m_state.evacuations().checksum();
+    heartbeat.rosterRevision = m_state.roster().revision;
+    heartbeat.clock = vmTimeOfDay();
+    m_time.recordClock(m_options.self.vm, heartbeat.clock, RuntimeClock::now());
     m_time.dropOld(RuntimeClock::now());
     if (const auto at = m_state.currentAt())
-        beat.ageMs = static_cast<std::int32_t>(toMillis(RuntimeClock::now() - *at));
-    beat.load = compactLoad(m_state.upstreams().ownLoad());
-    beat.quarantineChecksum = m_state.crashes().checksum(RuntimeClock::now());
-    beat.oldestPendingQuery = m_openAsks ? m_openAsks() : 0;
+        heartbeat.ageMs = static_cast<std::int32_t>(toMillis(RuntimeClock::now() - *at));
+    heartbeat.load = compactLoad(m_state.upstreams().ownLoad());
+    heartbeat.quarantineChecksum = m_state.crashes().checksum(RuntimeClock::now());
+    heartbeat.oldestPendingQuery = m_oldestPendingQuery ? m_oldestPendingQuery() : 0;
     m_state.upstreams().markReported();
     const Time now = RuntimeClock::now();
-    const Duration span = m_options.heartbeats.hintWindow(m_lastTargets, others().size());
-    beat.hints = compactHints(m_state.upstreams().recentHints(now, span));
-    beat.limits = limitsToReport(now);
-    beat.leaving = leavingToReport(now);
-    // A limit takes no more bytes than two prompts, and an id than three; these give way to them.
-    const std::size_t taken = 2 * beat.limits.size() + 3 * beat.leaving.size();
-    beat.hints.resize(std::min(beat.hints.size(), UpstreamTable::maxHints - taken));
-    if (beat.load.size() <= maxReportedLoads / 2) // a beat of the largest load has no room
-        beat.liveGateways = livesToTell(now);
-    if (++m_beats % heartbeatsPerSample != 1)
-        return beat;
-    std::vector<GatewayEntry> lately;
+    const Duration window =
+        m_options.heartbeats.hintWindow(m_lastTargetCount, otherGateways().size());
+    heartbeat.hints = compactHints(m_state.upstreams().recentHints(now, window));
+    heartbeat.limits = limitsToReport(now);
+    heartbeat.leaving = leavingToReport(now);
+    // A limit takes at most as many bytes as two prompt hints, and an id as three; hints are
+    // dropped to make room for them.
+    const std::size_t displacedHints = 2 * heartbeat.limits.size() + 3 * heartbeat.leaving.size();
+    heartbeat.hints.resize(
+        std::min(heartbeat.hints.size(), UpstreamTable::maxHints - displacedHints));
+    if (heartbeat.load.size() <= maxReportedLoads / 2) // otherwise there is no room
+        heartbeat.liveGateways = liveGatewaysToReport(now);
+    if (++m_heartbeatCount % heartbeatsPerSample != 1)
+        return heartbeat;
+    std::vector<GatewayEntry> recent;
     for (const Peer &peer : m_peers | std::views::values) {
-        if (peer.heard + peerTimeout / 2 > now)
-            lately.push_back(peer.entry);
+        if (peer.lastSeen + peerTimeout / 2 > now)
+            recent.push_back(peer.entry);
     }
-    std::ranges::sample(lately, std::back_inserter(beat.sample), sampleSize, m_random);
-    return beat;
+    std::ranges::sample(recent, std::back_inserter(heartbeat.sample), sampleSize, m_random);
+    return heartbeat;
 }
 
-std::vector<CompactLimit> GatewayPeers::limitsToReport(Time now, const std::set<UpstreamId> *of)
+std::vector<CompactLimit> GatewayPeers::limitsToReport(Time now,
+                                                       const std::set<UpstreamId> *upstreams)
 {
     const std::vector<LimitUpdate> recent = m_state.upstreams().limits().recent(now);
-    std::vector<LimitUpdate> wanted;
-    std::ranges::copy_if(recent, std::back_inserter(wanted), [of](const LimitUpdate &note) {
-        return of == nullptr || of->contains(note.upstream);
-    });
-    std::vector<LimitUpdate> some;
-    std::ranges::sample(wanted, std::back_inserter(some), maxReportedLimits, m_random);
-    return compactLimits(some);
+    std::vector<LimitUpdate> matching;
+    std::ranges::copy_if(recent, std::back_inserter(matching),
+                         [upstreams](const LimitUpdate &update) {
+                             return upstreams == nullptr || upstreams->contains(update.upstream);
+                         });
+    std::vector<LimitUpdate> selected;
+    std::ranges::sample(matching, std::back_inserter(selected), maxReportedLimits, m_random);
+    return compactLimits(selected);
 }
 
-std::vector<UpstreamId> GatewayPeers::leavingToReport(Time now, const ServiceName *of)
+std::vector<UpstreamId> GatewayPeers::leavingToReport(Time now, const ServiceName *service)
 {
     const UpstreamDirectory &directory = m_state.directory();
-    std::vector<UpstreamId> wanted;
-    std::ranges::copy_if(directory.leaving().recent(now), std::back_inserter(wanted),
-                         [&](const UpstreamId &id) {
-                             const UpstreamEntry *entry = directory.find(id);
-                             return entry != nullptr && (of == nullptr || entry->service == *of);
-                         });
-    std::vector<UpstreamId> some;
-    std::ranges::sample(wanted, std::back_inserter(some), maxReportedLeaving, m_random);
-    return some;
+    std::vector<UpstreamId> matching;
+    std::ranges::copy_if(
+        directory.leaving().recent(now), std::back_inserter(matching), [&](const UpstreamId &id) {
+            const UpstreamEntry *entry = directory.find(id);
+            return entry != nullptr && (service == nullptr || entry->service == *service);
+        });
+    std::vector<UpstreamId> selected;
+    std::ranges::sample(matching, std::back_inserter(selected), maxReportedLeaving, m_random);
+    return selected;
 }
 
-/// Some gateways that live, where beats alone would not tell each of the others in time.
-std::vector<CompactLiveGateway> GatewayPeers::livesToTell(Time now)
+/// A sample of live gateways, if the others would not learn of each by heartbeats alone in time.
+std::vector<CompactLiveGateway> GatewayPeers::liveGatewaysToReport(Time now)
 {
-    std::vector<CompactLiveGateway> lives;
-    if (m_peers.size() <= maxHeartbeatsPerRound * m_lastTargets)
-        return lives;
-    std::vector<CompactLiveGateway> all;
+    std::vector<CompactLiveGateway> selected;
+    if (m_peers.size() <= maxHeartbeatsPerRound * m_lastTargetCount)
+        return selected;
+    std::vector<CompactLiveGateway> recent;
     for (const auto &[vm, peer] : m_peers) {
-        const double tenths = std::ceil(toSeconds(now - peer.heard) * 10.0);
-        if (peer.heard + peerTimeout > now + m_options.heartbeats.interval)
-            all.push_back({vmHash(vm), static_cast<std::uint8_t>(std::max(0.0, tenths))});
+        const double tenths = std::ceil(toSeconds(now - peer.lastSeen) * 10.0);
+        if (peer.lastSeen + peerTimeout > now + m_options.heartbeats.interval)
+            recent.push_back({vmHash(vm), static_cast<std::uint8_t>(std::max(0.0, tenths))});
     }
-    std::ranges::sample(all, std::back_inserter(lives), maxReportedGateways, m_random);
-    return lives;
+    std::ranges::sample(recent, std::back_inserter(selected), maxReportedGateways, m_random);
+    return selected;
 }
 
-/// Follows the roster.
-void GatewayPeers::tagRegistered()
+/// Rebuilds m_gatewaysByHash when the roster changed or entries of lost peers have accumulated.
+void GatewayPeers::updateHashIndex()
 {
-    const bool isSame = m_taggedAt == m_state.roster().revision;
-    if (isSame && m_byTag.size() < 2 * mostPeers)
+    const bool isSame = m_indexedRosterRevision == m_state.roster().revision;
+    if (isSame && m_gatewaysByHash.size() < 2 * maxPeers)
         return;
-    m_taggedAt = m_state.roster().revision;
-    m_byTag.clear();
+    m_indexedRosterRevision = m_state.roster().revision;
+    m_gatewaysByHash.clear();
     for (const GatewayEntry &entry : m_state.roster().gateways)
-        m_byTag.emplace(vmHash(entry.vm), entry);
+        m_gatewaysByHash.emplace(vmHash(entry.vm), entry);
     for (const auto &[vm, peer] : m_peers)
-        m_byTag.insert_or_assign(vmHash(vm), peer.entry);
+        m_gatewaysByHash.insert_or_assign(vmHash(vm), peer.entry);
 }
 
-/// Notes when others were heard last, by what a peer knows of it. Ages are rounded up, so that a
-/// word that goes round makes nobody younger.
-void GatewayPeers::takeLives(const std::vector<CompactLiveGateway> &lives, Time now)
+/// Updates when other gateways were last seen from a peer's report. The reported ages are rounded
+/// up, so that a report passed around in a circle never makes a gateway seem more recently alive.
+void GatewayPeers::applyLiveGateways(const std::vector<CompactLiveGateway> &gateways, Time now)
 {
-    tagRegistered();
-    for (const CompactLiveGateway &life : lives) {
-        const auto known = m_byTag.find(life.vm);
-        if (known == m_byTag.end() || known->second.vm == m_options.self.vm)
+    updateHashIndex();
+    for (const CompactLiveGateway &gateway : gateways) {
+        const auto known = m_gatewaysByHash.find(gateway.vm);
+        if (known == m_gatewaysByHash.end() || known->second.vm == m_options.self.vm)
             continue;
-        const Time heard = now - milliseconds(life.ageTenths * 100);
-        const auto [it, fresh] = m_peers.try_emplace(
-            known->second.vm, Peer{known->second, heard, Time{}, Incarnation{}, 0});
-        it->second.heard = std::max(it->second.heard, heard);
+        const Time lastSeen = now - milliseconds(gateway.ageTenths * 100);
+        const auto [it, isNew] = m_peers.try_emplace(
+            known->second.vm, Peer{known->second, lastSeen, Time{}, Incarnation{}, 0});
+        it->second.lastSeen = std::max(it->second.lastSeen, lastSeen);
     }
 }
 
-/// Takes up gateways that a peer heard; they count as silent unless they are heard in time.
-void GatewayPeers::takeSample(const std::vector<GatewayEntry> &sample, Time now)
+/// Adds gateways that a peer reported. They are considered lost after half of peerTimeout unless
+/// they are seen in that time.
+void GatewayPeers::addSample(const std::vector<GatewayEntry> &sample, Time now)
 {
     for (const GatewayEntry &entry : sample) {
-        if (entry.vm == m_options.self.vm || m_peers.size() >= mostPeers)
+        if (entry.vm == m_options.self.vm || m_peers.size() >= maxPeers)
             continue;
         m_peers.try_emplace(entry.vm, Peer{entry, now - peerTimeout / 2, {}, {}, 0});
-        m_byTag.emplace(vmHash(entry.vm), entry);
+        m_gatewaysByHash.emplace(vmHash(entry.vm), entry);
     }
 }
 
-/// All known gateways but this one, as of a short while ago.
-const std::vector<Endpoint> &GatewayPeers::others()
+/// Addresses of all known gateways except this one; at most maxOtherGatewaysAge old.
+const std::vector<Endpoint> &GatewayPeers::otherGateways()
 {
     const Time now = RuntimeClock::now();
-    const auto madeOf = std::pair(m_peers.size(), m_state.roster().revision);
-    if (m_othersAt && now < *m_othersAt + othersAge && m_othersOf == madeOf)
-        return m_others;
-    m_othersAt = now;
-    m_othersOf = madeOf;
+    const auto version = std::pair(m_peers.size(), m_state.roster().revision);
+    if (m_otherGatewaysAt && now < *m_otherGatewaysAt + maxOtherGatewaysAge
+        && m_otherGatewaysVersion == version)
+        return m_otherGateways;
+    m_otherGatewaysAt = now;
+    m_otherGatewaysVersion = version;
     std::set<std::pair<std::string, std::uint16_t>> known;
     const auto add = [&](const Endpoint &at) { known.emplace(at.address, at.port); };
     std::ranges::for_each(m_options.seeds, add);
@@ -251,85 +258,85 @@
     for (const Peer &peer : m_peers | std::views::values)
         add(peer.entry.address);
     known.erase({m_options.self.address.address, m_options.self.address.port});
-    m_others.clear();
-    m_others.reserve(known.size());
+    m_otherGateways.clear();
+    m_otherGateways.reserve(known.size());
     for (const auto &[address, port] : known)
-        m_others.push_back({address, port});
-    return m_others;
+        m_otherGateways.push_back({address, port});
+    return m_otherGateways;
 }
 
-/// The gateways that the next beat goes to: as many as its size allows, in turn.
+/// The targets of the next heartbeat, in rotation: as many gateways as its size allows.
 std::vector<udp::endpoint> GatewayPeers::nextTargets(std::size_t bytes)
 {
-    const std::vector<Endpoint> &all = others();
-    m_lastTargets = m_options.heartbeats.targetCount(bytes, all.size());
+    const std::vector<Endpoint> &gateways = otherGateways();
+    m_lastTargetCount = m_options.heartbeats.targetCount(bytes, gateways.size());
     std::vector<udp::endpoint> targets;
-    for (std::size_t n = 0; n < m_lastTargets; ++n) {
-        const Endpoint &next = all[m_turn++ % all.size()];
+    for (std::size_t n = 0; n < m_lastTargetCount; ++n) {
+        const Endpoint &next = gateways[m_nextTarget++ % gateways.size()];
         error_code ec;
-        const auto number = asio::ip::make_address(next.address, ec);
+        const auto ip = asio::ip::make_address(next.address, ec);
         if (!ec)
-            targets.emplace_back(number, next.port);
+            targets.emplace_back(ip, next.port);
     }
     return targets;
 }
 
-void GatewayPeers::sendBeats()
+void GatewayPeers::sendHeartbeats()
 {
     const std::string bytes = static_cast<char>(PeerMessageKind::Heartbeat)
         + signMessage(m_options.keys, PeerMessageKind::Heartbeat, {},
-                      encodeGatewayHeartbeat(makeBeat()));
+                      encodeGatewayHeartbeat(makeHeartbeat()));
     const std::vector<udp::endpoint> targets = nextTargets(bytes.size());
-    m_lastBytes = bytes.size();
+    m_lastHeartbeatBytes = bytes.size();
     for (const udp::endpoint &target : targets) {
-        error_code ec; // a datagram that cannot leave now is made up for by the next beat
-        m_udp.send_to(asio::buffer(bytes), target, 0, ec);
+        error_code ec; // a datagram that is not sent is made up for by the next heartbeat
+        m_udpSocket.send_to(asio::buffer(bytes), target, 0, ec);
     }
 }
 
 void GatewayPeers::announce()
 {
     const Time now = RuntimeClock::now();
-    if (m_stopped || m_announcedAt + announcePause > now)
+    if (m_stopped || m_announcedAt + minAnnounceInterval > now)
         return;
     m_announcedAt = now;
-    sendBeats();
+    sendHeartbeats();
 }
 
-asio::awaitable<void> GatewayPeers::hearLoop()
+asio::awaitable<void> GatewayPeers::receiveLoop()
 {
-    std::vector<char> buf(mostDatagram);
+    std::vector<char> buf(maxDatagramBytes);
     while (!m_stopped) {
         error_code ec;
         udp::endpoint from;
         const std::size_t n =
-            co_await m_udp.async_receive_from(asio::buffer(buf), from, keepError(&ec));
+            co_await m_udpSocket.async_receive_from(asio::buffer(buf), from, keepError(&ec));
         if (ec)
             continue;
-        takeDatagram(std::string_view(buf.data(), n), from);
+        handleDatagram(std::string_view(buf.data(), n), from);
     }
 }
 
-/// The first byte names the kind, which the proof covers.
-void GatewayPeers::takeDatagram(std::string_view bytes, const udp::endpoint &from)
+/// The first byte is the message kind, which the authentication tag covers.
+void GatewayPeers::handleDatagram(std::string_view bytes, const udp::endpoint &from)
 {
     const auto kind =
         bytes.empty() ? PeerMessageKind::Heartbeat : static_cast<PeerMessageKind>(bytes.front());
     const auto message = verifyMessage(m_options.keys, kind, {},
                                        bytes.substr(std::min<std::size_t>(1, bytes.size())));
     if (!message) {
-        refuseStranger("datagram", from.address().to_string());
+        rejectUnauthenticated("datagram", from.address().to_string());
         return;
     }
     if (kind != PeerMessageKind::Heartbeat) {
-        if (const auto it = m_takers.find(kind); it != m_takers.end())
+        if (const auto it = m_datagramHandlers.find(kind); it != m_datagramHandlers.end())
             it->second(kind, *message, from);
         return;
     }
     std::string reason;
-    const auto beat = decodeGatewayHeartbeat(*message, &reason);
-    if (beat)
-        take(*beat);
+    const auto heartbeat = decodeGatewayHeartbeat(*message, &reason);
+    if (heartbeat)
+        handleHeartbeat(*heartbeat);
     else
         LogLine(LogLevel::Warn, "peer-datagram-refused").with("reason", reason);
 }
@@ -338,18 +345,18 @@
                               const DatagramHandler &callback)
 {
     for (const PeerMessageKind kind : kinds)
-        m_takers[kind] = callback;
+        m_datagramHandlers[kind] = callback;
 }
 
-std::set<GatewayIncarnation> GatewayPeers::recentIncarnations(Duration span) const
+std::set<GatewayIncarnation> GatewayPeers::recentIncarnations(Duration window) const
 {
     const Time now = RuntimeClock::now();
-    std::set<GatewayIncarnation> lives;
+    std::set<GatewayIncarnation> incarnations;
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.heardDirectly + span > now && peer.incarnation.value != 0)
-            lives.insert({vm, peer.incarnation});
+        if (peer.lastReceived + window > now && peer.incarnation.value != 0)
+            incarnations.insert({vm, peer.incarnation});
     }
-    return lives;
+    return incarnations;
 }
 
 std::map<VmName, GatewayEntry> GatewayPeers::fleet() const
@@ -365,29 +372,30 @@
 void GatewayPeers::sendTo(const Endpoint &to, PeerMessageKind kind, std::string payload)
 {
     error_code ec;
-    const auto number = asio::ip::make_address(to.address, ec);
+    const auto ip = asio::ip::make_address(to.address, ec);
     if (!ec)
-        sendTo(udp::endpoint(number, to.port), kind, std::move(payload));
+        sendTo(udp::endpoint(ip, to.port), kind, std::move(payload));
 }
 
 void GatewayPeers::sendTo(const udp::endpoint &to, PeerMessageKind kind, std::string payload)
 {
     const std::string bytes =
         static_cast<char>(kind) + signMessage(m_options.keys, kind, {}, std::move(payload));
-    error_code ec; // what cannot leave now is made up for by the next report, or by a time-out
-    m_udp.send_to(asio::buffer(bytes), to, 0, ec);
+    error_code ec; // a datagram that is not sent is made up for by the next report or a timeout
+    m_udpSocket.send_to(asio::buffer(bytes), to, 0, ec);
 }
 
-/// Counts and tells of bytes that no gateway of this fleet sent.
-void GatewayPeers::refuseStranger(std::string_view what, const std::string &from)
+/// Counts and logs a message that no gateway of this fleet sent.
+void GatewayPeers::rejectUnauthenticated(std::string_view what, const std::string &from)
 {
     if (m_options.counters != nullptr)
         m_options.counters->add(Counter::HostileFrames);
     LogLine(LogLevel::Warn, "peer-not-of-the-fleet").with("what", what).with("from", from);
 }
 
-/// True for a beat that a later one of the same life overtook, and for one that is played again.
-bool GatewayPeers::isOld(const VmName &from, Incarnation incarnation, std::uint64_t sequence) const
+/// True for a message that is replayed or older than the last one of the same incarnation.
+bool GatewayPeers::isStale(const VmName &from, Incarnation incarnation,
+                           std::uint64_t sequence) const
 {
     const auto it = m_peers.find(from);
     return it != m_peers.end() && it->second.incarnation == incarnation
@@ -397,78 +405,81 @@
 bool GatewayPeers::acceptSequence(const VmName &from, Incarnation incarnation,
                                   std::uint64_t sequence)
 {
-    if (isOld(from, incarnation, sequence))
+    if (isStale(from, incarnation, sequence))
         return false;
     const auto it = m_peers.find(from);
     if (it == m_peers.end())
-        return true; // known from its first beat on
-    it->second.heard = RuntimeClock::now();
-    it->second.heardDirectly = it->second.heard;
+        return true; // tracked from its first heartbeat on
+    it->second.lastSeen = RuntimeClock::now();
+    it->second.lastReceived = it->second.lastSeen;
     it->second.incarnation = incarnation;
     it->second.sequence = sequence;
     return true;
 }
 
-bool GatewayPeers::isBehind(const GatewayHeartbeat &beat) const
+bool GatewayPeers::isBehind(const GatewayHeartbeat &heartbeat) const
 {
-    return beat.configVersion > m_state.configVersion()
-        || beat.registryRevision > m_state.directory().revision()
-        || beat.evacuationRevision > m_state.evacuations().readRevision();
+    return heartbeat.configVersion > m_state.configVersion()
+        || heartbeat.registryRevision > m_state.directory().revision()
+        || heartbeat.evacuationRevision > m_state.evacuations().readRevision();
 }
 
-void GatewayPeers::take(const GatewayHeartbeat &beat)
+void GatewayPeers::handleHeartbeat(const GatewayHeartbeat &heartbeat)
 {
-    if (isOld(beat.from.vm, beat.incarnation, beat.sequence))
+    if (isStale(heartbeat.from.vm, heartbeat.incarnation, heartbeat.sequence))
         return;
     const Time now = RuntimeClock::now();
-    const bool fresh = !m_peers.contains(beat.from.vm);
-    m_peers[beat.from.vm] = Peer{beat.from, now, now, beat.incarnation, beat.sequence};
-    m_byTag.insert_or_assign(vmHash(beat.from.vm), beat.from);
+    const bool isNew = !m_peers.contains(heartbeat.from.vm);
+    m_peers[heartbeat.from.vm] =
+        Peer{heartbeat.from, now, now, heartbeat.incarnation, heartbeat.sequence};
+    m_gatewaysByHash.insert_or_assign(vmHash(heartbeat.from.vm), heartbeat.from);
     std::erase_if(m_peers, [&](const auto &peer) {
-        const bool gone = peer.second.heard + peerTimeout < now;
-        if (gone)
+        const bool isLost = peer.second.lastSeen + peerTimeout < now;
+        if (isLost)
             LogLine(LogLevel::Warn, "peer-lost").with("peer", peer.first.text);
-        return gone;
+        return isLost;
     });
-    if (fresh)
-        LogLine(LogLevel::Info, "peer-heard").with("peer", beat.from.vm.text);
-    takeSample(beat.sample, now);
-    takeLives(beat.liveGateways, now);
-    m_state.compareEvacuations(beat.evacuationRevision, beat.evacuationChecksum);
-    if (m_onMark)
-        m_onMark(beat.quarantineChecksum, beat.from.address);
-    m_time.recordClock(beat.from.vm, beat.clock, now);
+    if (isNew)
+        LogLine(LogLevel::Info, "peer-heard").with("peer", heartbeat.from.vm.text);
+    addSample(heartbeat.sample, now);
+    applyLiveGateways(heartbeat.liveGateways, now);
+    m_state.compareEvacuations(heartbeat.evacuationRevision, heartbeat.evacuationChecksum);
+    if (m_onQuarantineChecksum)
+        m_onQuarantineChecksum(heartbeat.quarantineChecksum, heartbeat.from.address);
+    m_time.recordClock(heartbeat.from.vm, heartbeat.clock, now);
     m_state.setLiveGateways(m_peers.size() + 1);
-    const Duration valid = m_options.heartbeats.loadLifetime(m_lastTargets, m_peers.size());
+    const Duration valid = m_options.heartbeats.loadLifetime(m_lastTargetCount, m_peers.size());
     m_state.upstreams().setPeerLoad(
-        beat.from.vm, {expandLoad(beat.load, m_state.directory()), beat.oldestPendingQuery}, now,
+        heartbeat.from.vm,
+        {expandLoad(heartbeat.load, m_state.directory()), heartbeat.oldestPendingQuery}, now,
         valid);
-    m_state.upstreams().addHints(expandHints(beat.hints, m_state.directory()), now);
-    m_state.learnLimits(expandLimits(beat.limits, m_state.directory()), beat.from.vm);
-    m_state.learnLeaving(beat.leaving, beat.from.vm);
-    const bool isBehindNow = isBehind(beat);
-    if (!isBehindNow)
-        takeVouch(beat, now);
-    // The list of gateways is no part of what a peer vouches for: calls do not depend on it.
-    if (!isBehindNow && beat.rosterRevision <= m_state.roster().revision) {
+    m_state.upstreams().addHints(expandHints(heartbeat.hints, m_state.directory()), now);
+    m_state.learnLimits(expandLimits(heartbeat.limits, m_state.directory()), heartbeat.from.vm);
+    m_state.learnLeaving(heartbeat.leaving, heartbeat.from.vm);
+    const bool isLocalBehind = isBehind(heartbeat);
+    if (!isLocalBehind)
+        confirmState(heartbeat, now);
+    // The roster is not part of the state that a peer confirms, since calls do not depend on it.
+    if (!isLocalBehind && heartbeat.rosterRevision <= m_state.roster().revision) {
         m_behindSince.reset();
         return;
     }
     if (!m_behindSince)
         m_behindSince = now;
-    const bool watches = m_state.directory().inContact() && m_state.shouldWatch(livePeers());
-    const bool waits = watches && *m_behindSince + peerFetchDelay > now;
-    if (!waits && !m_fetching)
-        asio::co_spawn(m_io, fetchNews(beat), asio::detached);
+    const bool isWatching = m_state.directory().inContact() && m_state.shouldWatch(livePeers());
+    const bool isWaiting = isWatching && *m_behindSince + peerFetchDelay > now;
+    if (!isWaiting && !m_fetching)
+        asio::co_spawn(m_io, fetchState(heartbeat), asio::detached);
 }
 
-/// Whoever knows no more than this gateway and was current at a time vouches that this one was.
-/// Were only equal states to vouch, nobody would while changes follow each other faster than they
-/// spread: 100 gateways then began to read the store within half a second.
-void GatewayPeers::takeVouch(const GatewayHeartbeat &beat, Time heardAt)
+/// A peer that was current at some time and knows nothing newer than this gateway confirms that
+/// this gateway was current then, too. If only peers with an equal state confirmed it, none would
+/// while changes follow each other faster than they spread: 100 gateways then began to read the
+/// store within half a second.
+void GatewayPeers::confirmState(const GatewayHeartbeat &heartbeat, Time receivedAt)
 {
-    if (!isBehind(beat) && beat.ageMs != GatewayHeartbeat::unknownAge)
-        m_state.confirmed(heardAt - milliseconds(beat.ageMs) - transit);
+    if (!isBehind(heartbeat) && heartbeat.ageMs != GatewayHeartbeat::unknownAge)
+        m_state.confirmed(receivedAt - milliseconds(heartbeat.ageMs) - maxTransitTime);
 }
 
 } // namespace reachlead
--- a/src/peer/gatewaypeers.h
+++ b/src/peer/gatewaypeers.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The gateway's side of the talk between gateways.
+/// A gateway's exchange of heartbeats and state with the other gateways.
 
 #pragma once
 
@@ -35,8 +35,8 @@
 
 namespace reachlead {
 
-/// Sends beats to all gateways that are known, and fetches the configuration and the registry from
-/// one that is ahead: so a gateway that the platform turns away follows the others. One thread.
+/// Sends heartbeats to all known gateways and fetches the configuration and the registry from one
+/// that is ahead, so that a gateway that the platform refuses follows the others. Not thread-safe.
 class GatewayPeers
 {
 public:
@@ -45,99 +45,104 @@
         GatewayEntry self;
         std::vector<Endpoint> seeds; ///< peer addresses to try before any gateway is known
         HeartbeatBudget heartbeats;
-        FleetKeys keys; ///< by which gateways know each other; none: nothing is checked
-        Counters *counters = nullptr; ///< must outlive the peers; null: nothing is counted
+        FleetKeys keys; ///< that authenticate gateways; none: every message is accepted
+        Counters *counters = nullptr; ///< must outlive the peers; may be null
     };
 
     GatewayPeers(boost::asio::io_context &io, Options options, GatewayState &state);
 
-    /// Ends all sending and listening.
+    /// Stops sending and listening.
     void stop();
 
-    /// This gateway, with the port that it listens at.
+    /// This gateway, with the port that it listens on.
     const GatewayEntry &self() const { return m_options.self; }
     std::uint16_t port() const { return m_options.self.address.port; }
 
-    /// Replaces the seeds, as after a change of the settings.
+    /// Replaces the seeds, e.g. after the settings were reloaded.
     void setSeeds(std::vector<Endpoint> seeds)
     {
         m_options.seeds = std::move(seeds);
-        m_othersAt.reset();
+        m_otherGatewaysAt.reset();
     }
 
-    /// Replaces the keys, as after a change of the settings.
+    /// Replaces the keys, e.g. after the settings were reloaded.
     void setKeys(FleetKeys keys) { m_options.keys = std::move(keys); }
 
-    /// Gateways that were heard within peerTimeout, without this one.
+    /// Gateways known to be alive within peerTimeout, without this one.
     std::set<VmName> livePeers() const;
 
-    /// The same with their entries, and this one.
+    /// The live gateways with their entries, including this one.
     std::map<VmName, GatewayEntry> liveGateways() const;
 
-    /// Sends a beat at once: the state changed.
+    /// Sends a heartbeat immediately because the state changed.
     void announce();
 
-    /// This life of the gateway.
+    /// The incarnation of this gateway.
     Incarnation incarnation() const { return m_incarnation; }
     bool isStopped() const { return m_stopped; }
 
-    /// All gateways that the registry names or that were heard, this one included.
+    /// All gateways that are in the registry or were seen, including this one.
     std::map<VmName, GatewayEntry> fleet() const;
 
-    /// Sends a datagram with its proof; one that cannot leave now is lost.
+    /// Sends an authenticated datagram; it is lost if it cannot be sent immediately.
     void sendTo(const Endpoint &to, PeerMessageKind kind, std::string payload);
     void sendTo(const boost::asio::ip::udp::endpoint &to, PeerMessageKind kind,
                 std::string payload);
 
-    /// Called with each datagram of this fleet that has one of these kinds.
+    /// Called for each authenticated datagram of one of the registered kinds.
     using DatagramHandler = std::function<void(PeerMessageKind, std::string_view,
                                                const boost::asio::ip::udp::endpoint &)>;
     void onDatagram(std::initializer_list<PeerMessageKind> kinds, const DatagramHandler &callback);
 
-    /// The lives of other gateways that were heard in the last \p span.
-    std::set<GatewayIncarnation> recentIncarnations(Duration span) const;
+    /// Incarnations of the other gateways that a message was received from within \p window.
+    std::set<GatewayIncarnation> recentIncarnations(Duration window) const;
 
-    /// Limits that were heard lately, some where there are many; \p of: of these upstreams alone.
-    std::vector<CompactLimit> limitsToReport(Time now, const std::set<UpstreamId> *of = nullptr);
+    /// Limits that changed recently, optionally only those of \p upstreams; a random sample of
+    /// maxReportedLimits if there are more.
+    std::vector<CompactLimit> limitsToReport(Time now,
+                                             const std::set<UpstreamId> *upstreams = nullptr);
 
-    /// Upstreams that said lately that they leave, some where there are many; \p of: of this
-    /// service alone.
-    std::vector<UpstreamId> leavingToReport(Time now, const ServiceName *of = nullptr);
+    /// Upstreams that recently announced that they are leaving, optionally only those
+    /// of \p service; a random sample of maxReportedLeaving if there are more.
+    std::vector<UpstreamId> leavingToReport(Time now, const ServiceName *service = nullptr);
 
-    /// The time of day by the clocks of all gateways that were heard.
+    /// The time of day by the clocks of all gateways whose heartbeats were received.
     UnixMillis timeOfDay() const { return m_time.at(RuntimeClock::now()); }
 
-    /// Asked for ReportedLoad::oldestPendingQuery of the next beat.
+    /// Sets the source of ReportedLoad::oldestPendingQuery for heartbeats.
     void setOldestPendingQuery(std::function<QueryId()> callback)
     {
-        m_openAsks = std::move(callback);
+        m_oldestPendingQuery = std::move(callback);
     }
 
-    /// Called with the quarantineChecksum of each beat and where its sender listens.
+    /// Sets the callback for the quarantineChecksum of each heartbeat and the sender's address.
     void onQuarantineChecksum(std::function<void(std::uint64_t, const Endpoint &)> callback)
     {
-        m_onMark = std::move(callback);
+        m_onQuarantineChecksum = std::move(callback);
     }
 
-    /// Numbers what this life of the gateway sends of its load.
+    /// Next sequence number of the messages with this gateway's load.
     std::uint64_t nextSequence() { return ++m_sequence; }
 
-    /// False for what a later word of the same life overtook, and for what is played again.
+    /// Returns false for a message that is replayed or older than the last one of the same
+    /// incarnation.
     bool acceptSequence(const VmName &from, Incarnation incarnation, std::uint64_t sequence);
 
-    /// Silence after which a gateway counts as gone: a beat reaches each of some hundred gateways
-    /// about every ten seconds, and of the few on a small site each time.
+    /// Time without a sign of life after which a gateway is considered lost. In a fleet of
+    /// several hundred gateways a heartbeat reaches each of them about every 10 s; on a small site
+    /// every heartbeat reaches all.
     static constexpr Duration peerTimeout = seconds(10);
 
-    /// One beat in so many names other gateways: they are half of a beat's bytes.
+    /// One of this many heartbeats contains a sample of gateways, which makes up half of its bytes.
     static constexpr std::uint64_t heartbeatsPerSample = 4;
 
-    /// Beats until each of the others got one, beyond which a beat tells who lives: a longer one
-    /// lasts longer than peerTimeout, so that gateways that live would count as lost.
+    /// If it takes more heartbeats than this to reach each of the other gateways, heartbeats also
+    /// report live gateways: a longer round exceeds peerTimeout, so that live gateways would be
+    /// considered lost.
     static constexpr std::size_t maxHeartbeatsPerRound = 4;
 
-    /// A gateway that is in contact with the registry hears of a change by itself; it asks a peer
-    /// only when it is still behind after this long.
+    /// A gateway in contact with the registry receives changes from there; it queries a peer only
+    /// if it is still behind after this delay.
     static constexpr Duration peerFetchDelay = milliseconds(300);
 
 private:
@@ -146,60 +151,62 @@
     struct Peer
     {
         GatewayEntry entry;
-        Time heard; ///< by this gateway or by one that told of it
-        Time heardDirectly;
+        Time lastSeen; ///< last sign of life, direct or reported by a peer
+        Time lastReceived; ///< last message that this gateway received
         Incarnation incarnation;
-        std::uint64_t sequence = 0; ///< of the last beat that was taken
+        std::uint64_t sequence = 0; ///< of the last accepted message
     };
 
-    boost::asio::awaitable<void> beatLoop();
-    boost::asio::awaitable<void> hearLoop();
+    boost::asio::awaitable<void> heartbeatLoop();
+    boost::asio::awaitable<void> receiveLoop();
     boost::asio::awaitable<void> acceptLoop();
-    boost::asio::awaitable<void> answerNews(Socket socket);
-    boost::asio::awaitable<void> fetchNews(GatewayHeartbeat beat);
-    void takeVouch(const GatewayHeartbeat &beat, Time heardAt);
-    void sendBeats();
-    const std::vector<Endpoint> &others();
+    boost::asio::awaitable<void> serveStateQuery(Socket socket);
+    boost::asio::awaitable<void> fetchState(GatewayHeartbeat heartbeat);
+    void confirmState(const GatewayHeartbeat &heartbeat, Time receivedAt);
+    void sendHeartbeats();
+    const std::vector<Endpoint> &otherGateways();
     std::vector<boost::asio::ip::udp::endpoint> nextTargets(std::size_t bytes);
-    GatewayHeartbeat makeBeat();
-    void takeSample(const std::vector<GatewayEntry> &sample, Time now);
-    std::vector<CompactLiveGateway> livesToTell(Time now);
-    void tagRegistered();
-    void takeLives(const std::vector<CompactLiveGateway> &lives, Time now);
-    void take(const GatewayHeartbeat &beat);
-    bool isBehind(const GatewayHeartbeat &beat) const;
-    bool isOld(const VmName &from, Incarnation incarnation, std::uint64_t sequence) const;
-    void takeDatagram(std::string_view bytes, const boost::asio::ip::udp::endpoint &from);
-    void refuseStranger(std::string_view what, const std::string &from);
+    GatewayHeartbeat makeHeartbeat();
+    void addSample(const std::vector<GatewayEntry> &sample, Time now);
+    std::vector<CompactLiveGateway> liveGatewaysToReport(Time now);
+    void updateHashIndex();
+    void applyLiveGateways(const std::vector<CompactLiveGateway> &gateways, Time now);
+    void handleHeartbeat(const GatewayHeartbeat &heartbeat);
+    bool isBehind(const GatewayHeartbeat &heartbeat) const;
+    bool isStale(const VmName &from, Incarnation incarnation, std::uint64_t sequence) const;
+    void handleDatagram(std::string_view bytes, const boost::asio::ip::udp::endpoint &from);
+    void rejectUnauthenticated(std::string_view what, const std::string &from);
 
     boost::asio::io_context &m_io;
     Options m_options;
     GatewayState &m_state;
     Incarnation m_incarnation;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    boost::asio::ip::udp::socket m_udp; ///< at the acceptor's port, also when the kernel chose it
+    boost::asio::ip::udp::socket
+        m_udpSocket; ///< on the acceptor's port, even if the kernel chose it
     std::map<VmName, Peer> m_peers;
-    std::vector<Endpoint> m_others; ///< as others() made it last
-    std::optional<Time> m_othersAt;
+    std::vector<Endpoint> m_otherGateways; ///< cache of otherGateways()
+    std::optional<Time> m_otherGatewaysAt;
     std::pair<std::size_t, std::uint64_t>
-        m_othersOf; ///< peers and revision of the roster that it was made of
-    std::unordered_map<std::uint32_t, GatewayEntry> m_byTag; ///< peers, and those in the roster
-    std::uint64_t m_taggedAt = 0; ///< revision of the roster that m_byTag holds
+        m_otherGatewaysVersion; ///< number of peers and roster revision of the cache
+    std::unordered_map<std::uint32_t, GatewayEntry>
+        m_gatewaysByHash; ///< peers and the roster, by vmHash()
+    std::uint64_t m_indexedRosterRevision = 0; ///< of m_gatewaysByHash
     std::mt19937_64 m_random{std::random_device{}()};
-    /// Of the rotation over targets. All gateways know the others in the same order, so those that
-    /// start together would all tell the same few, and leave the rest without a word for a round.
-    std::size_t m_turn = 0;
-    std::size_t m_lastTargets =
-        HeartbeatBudget::minTargets; ///< gateways that the last beat went to
-    std::size_t m_lastBytes = 0; ///< of the last beat, to one of them
-    std::uint64_t m_sequence = 0; ///< of the last word of its load that was sent
-    std::uint64_t m_beats = 0; ///< that were made
+    /// Position in the rotation over targets. Starts at random: all gateways have the others in the
+    /// same order, so that those started together would all send to the same few gateways, and the
+    /// rest would receive nothing for a round.
+    std::size_t m_nextTarget = 0;
+    std::size_t m_lastTargetCount = HeartbeatBudget::minTargets; ///< of the last heartbeat
+    std::size_t m_lastHeartbeatBytes = 0; ///< size of the last heartbeat
+    std::uint64_t m_sequence = 0; ///< of the last message with this gateway's load
+    std::uint64_t m_heartbeatCount = 0; ///< heartbeats made
     Time m_announcedAt{};
     std::optional<Time> m_behindSince;
-    std::map<PeerMessageKind, DatagramHandler> m_takers;
+    std::map<PeerMessageKind, DatagramHandler> m_datagramHandlers;
     FleetTime m_time;
-    std::function<QueryId()> m_openAsks;
-    std::function<void(std::uint64_t, const Endpoint &)> m_onMark;
+    std::function<QueryId()> m_oldestPendingQuery;
+    std::function<void(std::uint64_t, const Endpoint &)> m_onQuarantineChecksum;
     bool m_fetching = false;
     bool m_stopped = false;
 };
--- a/src/peer/gatewaypeers_test.cpp
+++ b/src/peer/gatewaypeers_test.cpp
@@ -13,19 +13,20 @@
 
 namespace reachlead {
 
-/// Who may tell a gateway anything, and what a gateway makes of old words.
+/// The exchange of heartbeats and state: only messages of the fleet are accepted, replayed and
+/// outdated ones are ignored, and changes reach gateways that do not know the sender.
 class GatewayPeersTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(GatewayPeersTest);
-    CPPUNIT_TEST(gatewaysOfOneFleetTellEachOther);
-    CPPUNIT_TEST(strangerTellsNothing);
-    CPPUNIT_TEST(answerToAnotherQuestionIsRefused);
-    CPPUNIT_TEST(beatThatIsPlayedAgainChangesNothing);
-    CPPUNIT_TEST(peerThatKnowsLessVouchesToo);
-    CPPUNIT_TEST(gatewaysThatBeatsSeldomReachAreKnownToLive);
-    CPPUNIT_TEST(shortBeatsGoToMoreGateways);
-    CPPUNIT_TEST(newsIsToldUntilEachHeardIt);
-    CPPUNIT_TEST(weightyLoadIsToldBeforeTheNextBeat);
+    CPPUNIT_TEST(gatewaysOfOneFleetExchangeState);
+    CPPUNIT_TEST(messagesFromOutsideTheFleetAreRejected);
+    CPPUNIT_TEST(replyToAnotherQueryIsRejected);
+    CPPUNIT_TEST(replayedHeartbeatIsIgnored);
+    CPPUNIT_TEST(peerWithOlderStateConfirms);
+    CPPUNIT_TEST(gatewaysWithRareHeartbeatsStayLive);
+    CPPUNIT_TEST(smallHeartbeatsGoToMoreGateways);
+    CPPUNIT_TEST(hintsAreReportedForARound);
+    CPPUNIT_TEST(largeLoadIsReportedEarly);
     CPPUNIT_TEST(limitsAndTheirEndsReachAllGateways);
     CPPUNIT_TEST(upstreamThatLeavesIsKnownToAllGateways);
     CPPUNIT_TEST_SUITE_END();
@@ -38,7 +39,7 @@
         return FleetKeys::parse(text, &reason).value();
     }
 
-    /// A gateway's beliefs and its talk with others, on a port of the kernel's choice.
+    /// The state and the peers of one gateway, on a port chosen by the kernel.
     struct Node
     {
         Node(boost::asio::io_context &io, const std::string &vm, const std::string &key,
@@ -57,13 +58,13 @@
                                              std::vector<Endpoint> seeds, Counters *counters,
                                              const HeartbeatBudget &beats = {})
         {
-            GatewayPeers::Options made;
-            made.self = {VmName(vm), {"127.0.0.1", 0}};
-            made.seeds = std::move(seeds);
-            made.keys = keys(key);
-            made.counters = counters;
-            made.heartbeats = beats;
-            return made;
+            GatewayPeers::Options options;
+            options.self = {VmName(vm), {"127.0.0.1", 0}};
+            options.seeds = std::move(seeds);
+            options.keys = keys(key);
+            options.counters = counters;
+            options.heartbeats = beats;
+            return options;
         }
         Endpoint address() const { return {"127.0.0.1", peers.port()}; }
 
@@ -72,23 +73,23 @@
         GatewayPeers peers;
     };
 
-    /// The thread's io_context on a paused clock.
-    struct Clocked
+    /// Pauses the clock and runs an io_context while advancing it.
+    struct PausedClock
     {
-        Clocked() { RuntimeClock::pause(start); }
-        ~Clocked()
+        PausedClock() { RuntimeClock::pause(start); }
+        ~PausedClock()
         {
             io.stop();
             RuntimeClock::resume();
         }
 
-        void advance(Duration d, Duration step = milliseconds(10),
-                     std::chrono::milliseconds span = std::chrono::milliseconds(3))
+        void advance(Duration duration, Duration step = milliseconds(10),
+                     std::chrono::milliseconds runTime = std::chrono::milliseconds(3))
         {
-            for (Duration moved{}; moved < d; moved += step) {
+            for (Duration elapsed{}; elapsed < duration; elapsed += step) {
                 RuntimeClock::advance(step);
                 io.restart();
-                io.run_for(span);
+                io.run_for(runTime);
             }
         }
 
@@ -97,115 +98,119 @@
 
     static RoutingConfig config(std::uint64_t version)
     {
-        RoutingConfig made;
-        made.version = version;
-        return made;
+        RoutingConfig config;
+        config.version = version;
+        return config;
     }
 
-    void gatewaysOfOneFleetTellEachOther()
+    void gatewaysOfOneFleetExchangeState()
     {
-        Clocked clocked;
-        Node told(clocked.io, "told", "the key of this fleet", {});
-        Node teller(clocked.io, "teller", "the key of this fleet", {told.address()});
-        teller.state.configRead(config(7));
-        clocked.advance(milliseconds(1500));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, told.state.configVersion());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, told.counters.value(Counter::HostileFrames));
+        PausedClock clock;
+        Node receiver(clock.io, "receiver", "the key of this fleet", {});
+        Node sender(clock.io, "sender", "the key of this fleet", {receiver.address()});
+        sender.state.configRead(config(7));
+        clock.advance(milliseconds(1500));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, receiver.state.configVersion());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, receiver.counters.value(Counter::HostileFrames));
     }
 
-    void strangerTellsNothing()
+    void messagesFromOutsideTheFleetAreRejected()
     {
-        Clocked clocked;
-        Node told(clocked.io, "told", "the key of this fleet", {});
-        Node stranger(clocked.io, "stranger", "a key of somebody else", {told.address()});
-        stranger.state.configRead(config(7));
-        clocked.advance(milliseconds(1500));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, told.state.configVersion());
-        CPPUNIT_ASSERT(told.peers.livePeers().empty());
-        CPPUNIT_ASSERT(told.counters.value(Counter::HostileFrames) > 0);
+        PausedClock clock;
+        Node receiver(clock.io, "receiver", "the key of this fleet", {});
+        Node outsider(clock.io, "outsider", "the key of another fleet", {receiver.address()});
+        outsider.state.configRead(config(7));
+        clock.advance(milliseconds(1500));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, receiver.state.configVersion());
+        CPPUNIT_ASSERT(receiver.peers.livePeers().empty());
+        CPPUNIT_ASSERT(receiver.counters.value(Counter::HostileFrames) > 0);
     }
 
-    void answerToAnotherQuestionIsRefused()
+    void replyToAnotherQueryIsRejected()
     {
         const FleetKeys fleet = keys("the key of this fleet");
-        const std::string sealed = signMessage(fleet, PeerMessageKind::StateUpdate, "17", "text");
-        CPPUNIT_ASSERT(verifyMessage(fleet, PeerMessageKind::StateUpdate, "17", sealed) == "text");
-        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::StateUpdate, "18", sealed));
-        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::Heartbeat, "17", sealed));
+        const std::string signedMessage =
+            signMessage(fleet, PeerMessageKind::StateUpdate, "17", "text");
+        CPPUNIT_ASSERT(verifyMessage(fleet, PeerMessageKind::StateUpdate, "17", signedMessage)
+                       == "text");
+        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::StateUpdate, "18", signedMessage));
+        CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::Heartbeat, "17", signedMessage));
         CPPUNIT_ASSERT(!verifyMessage(fleet, PeerMessageKind::StateUpdate, "17", "text"));
-        CPPUNIT_ASSERT(!verifyMessage(keys("a key of somebody else"), PeerMessageKind::StateUpdate,
-                                      "17", sealed));
+        CPPUNIT_ASSERT(!verifyMessage(keys("the key of another fleet"),
+                                      PeerMessageKind::StateUpdate, "17", signedMessage));
         CPPUNIT_ASSERT(verifyMessage(FleetKeys(), PeerMessageKind::StateUpdate, "17", "text")
                        == "text");
     }
 
-    void beatThatIsPlayedAgainChangesNothing()
+    void replayedHeartbeatIsIgnored()
     {
-        Clocked clocked;
-        Node hearer(clocked.io, "hearer", "the key of this fleet", {});
-        boost::asio::ip::udp::socket socket(clocked.io, boost::asio::ip::udp::v4());
-        const auto say = [&](std::uint64_t sequence, std::int32_t ageMs) {
-            GatewayHeartbeat beat;
-            beat.from = {VmName("other"), {"127.0.0.1", 1}};
-            beat.incarnation = Incarnation{5};
-            beat.sequence = sequence;
-            beat.ageMs = ageMs;
+        PausedClock clock;
+        Node receiver(clock.io, "receiver", "the key of this fleet", {});
+        boost::asio::ip::udp::socket socket(clock.io, boost::asio::ip::udp::v4());
+        const auto send = [&](std::uint64_t sequence, std::int32_t ageMs) {
+            GatewayHeartbeat heartbeat;
+            heartbeat.from = {VmName("other"), {"127.0.0.1", 1}};
+            heartbeat.incarnation = Incarnation{5};
+            heartbeat.sequence = sequence;
+            heartbeat.ageMs = ageMs;
             const std::string bytes = static_cast<char>(PeerMessageKind::Heartbeat)
                 + signMessage(keys("the key of this fleet"), PeerMessageKind::Heartbeat, {},
-                              encodeGatewayHeartbeat(beat));
+                              encodeGatewayHeartbeat(heartbeat));
             socket.send_to(boost::asio::buffer(bytes),
-                           {boost::asio::ip::make_address("127.0.0.1"), hearer.peers.port()});
-            clocked.advance(milliseconds(50));
+                           {boost::asio::ip::make_address("127.0.0.1"), receiver.peers.port()});
+            clock.advance(milliseconds(50));
         };
-        say(5, GatewayHeartbeat::unknownAge);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.peers.livePeers().size());
-        say(5, 0);
-        say(4, 0);
-        CPPUNIT_ASSERT(!hearer.state.currentAt());
-        say(6, 0);
-        CPPUNIT_ASSERT(hearer.state.currentAt().has_value());
+        send(5, GatewayHeartbeat::unknownAge);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, receiver.peers.livePeers().size());
+        send(5, 0);
+        send(4, 0);
+        CPPUNIT_ASSERT(!receiver.state.currentAt());
+        send(6, 0);
+        CPPUNIT_ASSERT(receiver.state.currentAt().has_value());
     }
 
-    /// While changes follow each other faster than they spread no two gateways have the same state.
-    void peerThatKnowsLessVouchesToo()
+    /// While changes follow each other faster than they spread, no two gateways have the same
+    /// state. If only equal states confirmed each other, none would be confirmed.
+    void peerWithOlderStateConfirms()
     {
-        Clocked clocked;
-        Node hearer(clocked.io, "hearer", "the key of this fleet", {});
-        hearer.state.configRead(config(7));
-        boost::asio::ip::udp::socket socket(clocked.io, boost::asio::ip::udp::v4());
-        GatewayHeartbeat beat;
-        beat.from = {VmName("other"), {"127.0.0.1", 1}};
-        beat.incarnation = Incarnation{5};
-        const auto say = [&](std::uint64_t version) {
-            ++beat.sequence;
-            beat.configVersion = version;
-            beat.ageMs = 0;
+        PausedClock clock;
+        Node receiver(clock.io, "receiver", "the key of this fleet", {});
+        receiver.state.configRead(config(7));
+        boost::asio::ip::udp::socket socket(clock.io, boost::asio::ip::udp::v4());
+        GatewayHeartbeat heartbeat;
+        heartbeat.from = {VmName("other"), {"127.0.0.1", 1}};
+        heartbeat.incarnation = Incarnation{5};
+        const auto send = [&](std::uint64_t version) {
+            ++heartbeat.sequence;
+            heartbeat.configVersion = version;
+            heartbeat.ageMs = 0;
             const std::string bytes = static_cast<char>(PeerMessageKind::Heartbeat)
                 + signMessage(keys("the key of this fleet"), PeerMessageKind::Heartbeat, {},
-                              encodeGatewayHeartbeat(beat));
+                              encodeGatewayHeartbeat(heartbeat));
             socket.send_to(boost::asio::buffer(bytes),
-                           {boost::asio::ip::make_address("127.0.0.1"), hearer.peers.port()});
-            clocked.advance(milliseconds(50));
+                           {boost::asio::ip::make_address("127.0.0.1"), receiver.peers.port()});
+            clock.advance(milliseconds(50));
         };
-        say(8); // it knows what this gateway does not
-        CPPUNIT_ASSERT(!hearer.state.currentAt());
-        say(6);
-        CPPUNIT_ASSERT(hearer.state.currentAt().has_value());
+        send(8); // the sender has a newer version than the receiver
+        CPPUNIT_ASSERT(!receiver.state.currentAt());
+        send(6);
+        CPPUNIT_ASSERT(receiver.state.currentAt().has_value());
     }
 
-    /// Beats go to five of 29 others every two seconds, so that one hears each of them each 12 s:
-    /// by then it would count as lost. One that ends is lost to all all the same.
-    void gatewaysThatBeatsSeldomReachAreKnownToLive()
+    /// A heartbeat goes to five of the 29 others every 2 s, so that each gateway receives one of
+    /// each other every 12 s, after it would be considered lost. Reports of live gateways must
+    /// prevent that, and a gateway that stops must still be considered lost by all.
+    void gatewaysWithRareHeartbeatsStayLive()
     {
         constexpr std::size_t size = 30;
-        Clocked clocked;
+        PausedClock clock;
         HeartbeatBudget beats;
         beats.interval = seconds(2);
         beats.bytesPerSecond = 1;
         std::vector<std::unique_ptr<Node>> nodes;
         std::vector<Endpoint> seeds;
         for (std::size_t n = 0; n < size; ++n) {
-            nodes.push_back(std::make_unique<Node>(clocked.io, "vm-" + std::to_string(n),
+            nodes.push_back(std::make_unique<Node>(clock.io, "vm-" + std::to_string(n),
                                                    "the key of this fleet", seeds, beats));
             if (n < 3)
                 seeds.push_back(nodes.back()->address());
@@ -217,20 +222,20 @@
         for (const auto &node : nodes)
             node->state.gatewaysChanged({1, all});
         constexpr Duration step = milliseconds(100);
-        constexpr std::chrono::milliseconds span(40); // also where the sanitizers make all slow
-        clocked.advance(seconds(30), step, span);
+        constexpr std::chrono::milliseconds runTime(40); // sufficient with sanitizers, too
+        clock.advance(seconds(30), step, runTime);
         for (int n = 0; n < 5; ++n) {
-            clocked.advance(seconds(3), step, span);
+            clock.advance(seconds(3), step, runTime);
             for (const auto &node : nodes)
                 CPPUNIT_ASSERT(node->peers.livePeers().size() >= size - 3);
         }
         nodes.back()->peers.stop();
-        clocked.advance(GatewayPeers::peerTimeout + seconds(5), step, span);
+        clock.advance(GatewayPeers::peerTimeout + seconds(5), step, runTime);
         for (const auto &node : nodes | std::views::take(size - 1))
             CPPUNIT_ASSERT(!node->peers.livePeers().contains(VmName("vm-29")));
     }
 
-    void shortBeatsGoToMoreGateways()
+    void smallHeartbeatsGoToMoreGateways()
     {
         const HeartbeatBudget budget;
         const Duration interval = budget.interval;
@@ -239,16 +244,16 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, budget.targetCount(330, 4));
         CPPUNIT_ASSERT_EQUAL(HeartbeatBudget::minTargets, budget.targetCount(1'100, 29));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.targetCount(330, 0));
-        // Whatever the fleet and the load: control has 15 KB/s of a VM.
+        // Control traffic must not exceed 15 KB/s of a VM in any fleet and under any load.
         for (std::size_t bytes = 100; bytes <= 1'200; bytes += 10) {
             const auto sent = bytes * budget.targetCount(bytes, 479);
             CPPUNIT_ASSERT(static_cast<double>(sent) / toSeconds(interval) <= 15'000);
-            if (bytes <= 500) // as it is but under the largest load; as much is heard as sent
+            if (bytes <= 500) // usual size; as much is received as sent
                 CPPUNIT_ASSERT(static_cast<double>(2 * sent) / toSeconds(interval) <= 15'000);
         }
     }
 
-    void newsIsToldUntilEachHeardIt()
+    void hintsAreReportedForARound()
     {
         const HeartbeatBudget budget;
         const Duration interval = budget.interval;
@@ -259,45 +264,46 @@
         CPPUNIT_ASSERT(budget.loadLifetime(10, 100) == 20 * interval);
     }
 
-    void weightyLoadIsToldBeforeTheNextBeat()
+    void largeLoadIsReportedEarly()
     {
         const HeartbeatBudget budget;
         const Duration interval = budget.interval;
         const Duration early = milliseconds(110);
-        const TokenCount weighty = HeartbeatBudget::earlyReportTokens;
-        constexpr std::size_t beatSize = 175; // bytes, with little load
-        CPPUNIT_ASSERT(budget.isDue(interval, 0, beatSize, 29));
-        CPPUNIT_ASSERT(budget.isDue(early, weighty, beatSize, 4));
-        CPPUNIT_ASSERT(!budget.isDue(early, weighty - 1, beatSize, 4));
-        CPPUNIT_ASSERT(!budget.isDue(early, weighty, beatSize, 479)); // a large fleet
+        const TokenCount largeLoad = HeartbeatBudget::earlyReportTokens;
+        constexpr std::size_t heartbeatBytes = 175; // with little load
+        CPPUNIT_ASSERT(budget.isDue(interval, 0, heartbeatBytes, 29));
+        CPPUNIT_ASSERT(budget.isDue(early, largeLoad, heartbeatBytes, 4));
+        CPPUNIT_ASSERT(!budget.isDue(early, largeLoad - 1, heartbeatBytes, 4));
+        CPPUNIT_ASSERT(!budget.isDue(early, largeLoad, heartbeatBytes, 479)); // a large fleet
 
-        Clocked clocked;
-        Node hearer(clocked.io, "hearer", "the key of this fleet", {});
-        Node teller(clocked.io, "teller", "the key of this fleet", {hearer.address()});
+        PausedClock clock;
+        Node receiver(clock.io, "receiver", "the key of this fleet", {});
+        Node sender(clock.io, "sender", "the key of this fleet", {receiver.address()});
         UpstreamEntry engine;
         engine.id = UpstreamId("u");
         engine.service = ServiceName("llm");
-        for (Node *it : {&hearer, &teller})
-            it->state.upstreamsListed({engine}, 1);
-        clocked.advance(milliseconds(410));
-        Selection choice;
-        choice.upstream = engine.id;
-        choice.prefillTokens = 9'000;
-        teller.state.upstreams().sent(engine.id, SelectionQuery{engine.service, "m", {}}, choice,
+        for (Node *node : {&receiver, &sender})
+            node->state.upstreamsListed({engine}, 1);
+        clock.advance(milliseconds(410));
+        Selection selection;
+        selection.upstream = engine.id;
+        selection.prefillTokens = 9'000;
+        sender.state.upstreams().sent(engine.id, SelectionQuery{engine.service, "m", {}}, selection,
                                       RuntimeClock::now());
-        clocked.advance(milliseconds(250));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hearer.state.upstreams().peerCount());
-        const auto heard = hearer.state.upstreams().load(engine.id, RuntimeClock::now());
-        CPPUNIT_ASSERT(heard.prefillTokens >= 9'000);
+        clock.advance(milliseconds(250));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, receiver.state.upstreams().peerCount());
+        const auto load = receiver.state.upstreams().load(engine.id, RuntimeClock::now());
+        CPPUNIT_ASSERT(load.prefillTokens >= 9'000);
     }
 
-    /// The second gateway knows the other two; these do not know each other.
+    /// The second gateway knows the other two, which do not know each other: limits must be passed
+    /// on.
     void limitsAndTheirEndsReachAllGateways()
     {
-        Clocked clocked;
-        Node last(clocked.io, "last", "the key of this fleet", {});
-        Node second(clocked.io, "second", "the key of this fleet", {last.address()});
-        Node first(clocked.io, "first", "the key of this fleet", {second.address()});
+        PausedClock clock;
+        Node last(clock.io, "last", "the key of this fleet", {});
+        Node second(clock.io, "second", "the key of this fleet", {last.address()});
+        Node first(clock.io, "first", "the key of this fleet", {second.address()});
         UpstreamEntry limited;
         limited.id = UpstreamId("u", 7);
         for (Node *node : {&first, &second, &last})
@@ -307,40 +313,41 @@
         };
         first.state.upstreams().limits().recordAnswer(limited.id, CallRate{2200},
                                                       RuntimeClock::now(), vmTimeOfDay());
-        clocked.advance(seconds(4));
+        clock.advance(seconds(4));
         CPPUNIT_ASSERT(limitAt(second) == CallRate{2200} && limitAt(last) == CallRate{2200});
         first.state.upstreams().limits().recordAnswer(limited.id, std::nullopt, RuntimeClock::now(),
                                                       vmTimeOfDay());
-        clocked.advance(seconds(4));
+        clock.advance(seconds(4));
         CPPUNIT_ASSERT(!limitAt(first) && !limitAt(second) && !limitAt(last));
     }
 
-    /// As above; the registry is away. One more gateway starts later.
+    /// As above, while the registry is unavailable. A gateway that starts later must learn it, too,
+    /// and the next incarnation of the upstream must take work.
     void upstreamThatLeavesIsKnownToAllGateways()
     {
-        Clocked clocked;
-        Node last(clocked.io, "last", "the key of this fleet", {});
-        Node second(clocked.io, "second", "the key of this fleet", {last.address()});
-        Node first(clocked.io, "first", "the key of this fleet", {second.address()});
-        UpstreamEntry leaver;
-        leaver.id = UpstreamId("u", 7);
-        UpstreamEntry nextLife = leaver;
-        nextLife.id.startedAt = 8;
-        nextLife.revision = 2;
+        PausedClock clock;
+        Node last(clock.io, "last", "the key of this fleet", {});
+        Node second(clock.io, "second", "the key of this fleet", {last.address()});
+        Node first(clock.io, "first", "the key of this fleet", {second.address()});
+        UpstreamEntry leavingUpstream;
+        leavingUpstream.id = UpstreamId("u", 7);
+        UpstreamEntry restarted = leavingUpstream;
+        restarted.id.startedAt = 8;
+        restarted.revision = 2;
         for (Node *node : {&first, &second, &last})
-            node->state.upstreamsListed({leaver}, 1);
+            node->state.upstreamsListed({leavingUpstream}, 1);
         UpstreamNotice leaving;
         leaving.isLeaving = true;
-        first.state.applyNotice(leaver.id, leaving);
-        clocked.advance(seconds(4));
-        Node started(clocked.io, "started", "the key of this fleet", {last.address()});
-        started.state.upstreamsListed({leaver}, 1);
-        clocked.advance(seconds(4));
-        for (Node *node : {&first, &second, &last, &started}) {
+        first.state.applyNotice(leavingUpstream.id, leaving);
+        clock.advance(seconds(4));
+        Node lateStarter(clock.io, "late", "the key of this fleet", {last.address()});
+        lateStarter.state.upstreamsListed({leavingUpstream}, 1);
+        clock.advance(seconds(4));
+        for (Node *node : {&first, &second, &last, &lateStarter}) {
             const UpstreamDirectory &directory = node->state.directory();
-            CPPUNIT_ASSERT(!directory.takesWork(*directory.find(leaver.id)));
-            node->state.upstreamsListed({nextLife}, 2);
-            CPPUNIT_ASSERT(directory.takesWork(*directory.find(nextLife.id)));
+            CPPUNIT_ASSERT(!directory.takesWork(*directory.find(leavingUpstream.id)));
+            node->state.upstreamsListed({restarted}, 2);
+            CPPUNIT_ASSERT(directory.takesWork(*directory.find(restarted.id)));
         }
     }
 };
--- a/src/peer/gatewaypeers_update.cpp
+++ b/src/peer/gatewaypeers_update.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// GatewayPeers' exchange of state over TCP: a gateway that is behind asks, one that is ahead
-/// answers.
+/// The exchange of state over TCP in GatewayPeers: a gateway that is behind queries one that is
+/// ahead.
 
 #include <cstring>
 
@@ -28,16 +28,17 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::uint32_t mostNews = 16U << 20U; ///< bytes of a whole state
-constexpr Duration fetchLimit = milliseconds(1000); ///< for one fetch, some round trips
+constexpr std::uint32_t maxUpdateBytes = 16U << 20U; ///< of a whole state
+constexpr Duration fetchTimeout =
+    milliseconds(1000); ///< for one fetch, which takes a few round trips
 
 auto keepError(error_code *ec)
 {
     return asio::redirect_error(asio::use_awaitable, *ec);
 }
 
-/// Writes a text with its length ahead.
-asio::awaitable<bool> writeText(tcp::socket &socket, const std::string &text)
+/// Writes a message with a length prefix.
+asio::awaitable<bool> writeMessage(tcp::socket &socket, const std::string &text)
 {
     const auto size = static_cast<std::uint32_t>(text.size());
     std::string framed(sizeof size, '\0');
@@ -48,13 +49,13 @@
     co_return !ec;
 }
 
-/// Reads what writeText() wrote; nothing when it broke off or is too long.
-asio::awaitable<std::optional<std::string>> readText(tcp::socket &socket)
+/// Reads a message with a length prefix; returns nothing if it is truncated or too long.
+asio::awaitable<std::optional<std::string>> readMessage(tcp::socket &socket)
 {
     std::uint32_t size = 0;
     error_code ec;
     co_await asio::async_read(socket, asio::buffer(&size, sizeof size), keepError(&ec));
-    if (ec || size > mostNews)
+    if (ec || size > maxUpdateBytes)
         co_return std::nullopt;
     std::string text(size, '\0');
     co_await asio::async_read(socket, asio::buffer(text), keepError(&ec));
@@ -63,10 +64,10 @@
     co_return text;
 }
 
-/// Closes a socket after a time, unless it went first.
-void limitTime(Timer &timer, const std::shared_ptr<tcp::socket> &socket)
+/// Closes the socket after fetchTimeout unless the timer is cancelled first.
+void startTimeout(Timer &timer, const std::shared_ptr<tcp::socket> &socket)
 {
-    timer.expires_after(fetchLimit);
+    timer.expires_after(fetchTimeout);
     timer.async_wait([socket](const error_code &ec) {
         error_code ignored;
         if (!ec)
@@ -76,46 +77,46 @@
 
 } // namespace
 
-asio::awaitable<void> GatewayPeers::fetchNews(GatewayHeartbeat beat)
+asio::awaitable<void> GatewayPeers::fetchState(GatewayHeartbeat heartbeat)
 {
-    const GatewayEntry peer = beat.from;
-    const Time heardAt = RuntimeClock::now();
+    const GatewayEntry peer = heartbeat.from;
+    const Time receivedAt = RuntimeClock::now();
     m_fetching = true;
     const auto socket = std::make_shared<tcp::socket>(m_io);
     Timer timer(m_io);
-    limitTime(timer, socket);
+    startTimeout(timer, socket);
     error_code ec;
-    const auto number = asio::ip::make_address(peer.address.address, ec);
+    const auto ip = asio::ip::make_address(peer.address.address, ec);
     if (!ec)
-        co_await socket->async_connect(tcp::endpoint(number, peer.address.port), keepError(&ec));
+        co_await socket->async_connect(tcp::endpoint(ip, peer.address.port), keepError(&ec));
     std::optional<std::string> text;
     std::string reason = ec.message();
-    const StateQuery ask{m_state.versions(), m_random()};
-    const std::string nonce = std::to_string(ask.nonce);
+    const StateQuery query{m_state.versions(), m_random()};
+    const std::string nonce = std::to_string(query.nonce);
     if (!ec) {
         const std::string payload =
-            signMessage(m_options.keys, PeerMessageKind::StateQuery, {}, encodeStateQuery(ask));
-        reason = "the connection broke off";
-        const bool sent = co_await writeText(*socket, payload);
+            signMessage(m_options.keys, PeerMessageKind::StateQuery, {}, encodeStateQuery(query));
+        reason = "connection closed before the reply was complete";
+        const bool sent = co_await writeMessage(*socket, payload);
         if (sent)
-            text = co_await readText(*socket);
+            text = co_await readMessage(*socket);
     }
     timer.cancel();
     m_fetching = false;
     m_behindSince.reset();
-    std::optional<StateUpdate> news;
+    std::optional<StateUpdate> update;
     if (text) {
         const auto message =
             verifyMessage(m_options.keys, PeerMessageKind::StateUpdate, nonce, *text);
-        reason = "the answer is not of this fleet";
+        reason = "reply is not authenticated by a key of this fleet";
         if (message)
-            news = decodeStateUpdate(*message, &reason);
+            update = decodeStateUpdate(*message, &reason);
         else
-            refuseStranger("news", peer.address.text());
+            rejectUnauthenticated("news", peer.address.text());
     }
-    if (news) {
-        m_state.applyPeerUpdate(peer.vm, *news);
-        takeVouch(beat, heardAt);
+    if (update) {
+        m_state.applyPeerUpdate(peer.vm, *update);
+        confirmState(heartbeat, receivedAt);
     } else {
         LogLine(LogLevel::Warn, "peer-fetch-failed")
             .with("peer", peer.vm.text)
@@ -131,29 +132,30 @@
         if (ec)
             continue;
         setSocketTimeouts(socket);
-        asio::co_spawn(m_io, answerNews(std::move(socket)), asio::detached);
+        asio::co_spawn(m_io, serveStateQuery(std::move(socket)), asio::detached);
     }
 }
 
-asio::awaitable<void> GatewayPeers::answerNews(Socket socket)
+asio::awaitable<void> GatewayPeers::serveStateQuery(Socket socket)
 {
-    const auto held = std::make_shared<Socket>(std::move(socket));
+    const auto connection = std::make_shared<Socket>(std::move(socket));
     Timer timer(m_io);
-    limitTime(timer, held);
-    const auto text = co_await readText(*held);
+    startTimeout(timer, connection);
+    const auto text = co_await readMessage(*connection);
     std::optional<std::string_view> message;
     if (text)
         message = verifyMessage(m_options.keys, PeerMessageKind::StateQuery, {}, *text);
     std::string reason;
-    const auto ask = message ? decodeStateQuery(*message, &reason) : std::nullopt;
-    if (ask) {
-        const std::string nonce = std::to_string(ask->nonce);
-        const std::string payload = signMessage(m_options.keys, PeerMessageKind::StateUpdate, nonce,
-                                                encodeStateUpdate(m_state.updateSince(ask->known)));
-        co_await writeText(*held, payload);
+    const auto query = message ? decodeStateQuery(*message, &reason) : std::nullopt;
+    if (query) {
+        const std::string nonce = std::to_string(query->nonce);
+        const std::string payload =
+            signMessage(m_options.keys, PeerMessageKind::StateUpdate, nonce,
+                        encodeStateUpdate(m_state.updateSince(query->known)));
+        co_await writeMessage(*connection, payload);
     } else if (text) {
         error_code ec;
-        refuseStranger("question", held->remote_endpoint(ec).address().to_string());
+        rejectUnauthenticated("question", connection->remote_endpoint(ec).address().to_string());
     }
     timer.cancel();
 }
