--- a/src/peer/gatewaypeers.h
+++ b/src/peer/gatewaypeers.h
@@ -128,7 +128,7 @@
     /// incarnation.
     bool acceptSequence(const VmName &from, Incarnation incarnation, std::uint64_t sequence);
 
-    /// Time without a sign of life after which a gateway is considered lost. In a fleet of
+    /// Time since the last sign of life after which a gateway is considered lost. In a fleet of
     /// several hundred gateways a heartbeat reaches each of them about every 10 s; on a small site
     /// every heartbeat reaches all.
     static constexpr Duration peerTimeout = seconds(10);
--- a/src/peer/gatewaypeers_test.cpp
+++ b/src/peer/gatewaypeers_test.cpp
@@ -47,8 +47,8 @@
             : Node(io, vm, key, std::move(seeds), HeartbeatBudget())
         { }
         Node(boost::asio::io_context &io, const std::string &vm, const std::string &key,
-             std::vector<Endpoint> seeds, const HeartbeatBudget &beats)
-            : peers(io, options(vm, key, std::move(seeds), &counters, beats), state)
+             std::vector<Endpoint> seeds, const HeartbeatBudget &budget)
+            : peers(io, options(vm, key, std::move(seeds), &counters, budget), state)
         { }
         ~Node() { peers.stop(); }
         Node(const Node &) = delete;
@@ -56,14 +56,14 @@
 
         static GatewayPeers::Options options(const std::string &vm, const std::string &key,
                                              std::vector<Endpoint> seeds, Counters *counters,
-                                             const HeartbeatBudget &beats = {})
+                                             const HeartbeatBudget &budget = {})
         {
             GatewayPeers::Options options;
             options.self = {VmName(vm), {"127.0.0.1", 0}};
             options.seeds = std::move(seeds);
             options.keys = keys(key);
             options.counters = counters;
-            options.heartbeats = beats;
+            options.heartbeats = budget;
             return options;
         }
         Endpoint address() const { return {"127.0.0.1", peers.port()}; }
@@ -204,14 +204,14 @@
     {
         constexpr std::size_t size = 30;
         PausedClock clock;
-        HeartbeatBudget beats;
-        beats.interval = seconds(2);
-        beats.bytesPerSecond = 1;
+        HeartbeatBudget budget;
+        budget.interval = seconds(2);
+        budget.bytesPerSecond = 1;
         std::vector<std::unique_ptr<Node>> nodes;
         std::vector<Endpoint> seeds;
         for (std::size_t n = 0; n < size; ++n) {
             nodes.push_back(std::make_unique<Node>(clock.io, "vm-" + std::to_string(n),
-                                                   "the key of this fleet", seeds, beats));
+                                                   "the key of this fleet", seeds, budget));
             if (n < 3)
                 seeds.push_back(nodes.back()->address());
         }
--- a/src/peer/messageauth.cpp
+++ b/src/peer/messageauth.cpp
@@ -22,10 +22,10 @@
                        welcome.incarnation.value, welcome.target.text);
 }
 
-std::string heartbeatSigningInput(Heartbeat beat)
+std::string heartbeatSigningInput(Heartbeat heartbeat)
 {
-    beat.proof.clear();
-    return encodeHeartbeat(beat);
+    heartbeat.proof.clear();
+    return encodeHeartbeat(heartbeat);
 }
 
 namespace {
--- a/src/peer/messageauth.h
+++ b/src/peer/messageauth.h
@@ -23,7 +23,7 @@
 std::string welcomeSigningInput(const std::string &routerNonce, const Welcome &welcome);
 
 /// The bytes that an agent signs in a heartbeat: the whole message except the proof.
-std::string heartbeatSigningInput(Heartbeat beat);
+std::string heartbeatSigningInput(Heartbeat heartbeat);
 
 /// Kinds of messages between gateways. The kind is covered by the authentication tag, so that the
 /// tag of one kind is invalid for another.
