--- a/src/peer/gatewaymessages.h
+++ b/src/peer/gatewaymessages.h
@@ -25,11 +25,10 @@
 {
     UpstreamHash upstream = 0;
     std::uint16_t running = 0; ///< saturates
-    std::uint16_t prefillUnits =
-        0; ///< prefill tokens in units of tokensPerUnit, rounded up; saturates
+    std::uint16_t prefillUnits = 0; ///< of tokensPerUnit, rounded up; saturates
     std::uint16_t shortPrompts = 0; ///< running requests with a short prompt; saturates
 
-    static constexpr std::uint64_t tokensPerUnit = 64;
+    static constexpr std::uint64_t tokensPerUnit = 64; ///< prefill tokens
 
     template <class Archive> void serialize(Archive &ar)
     {
@@ -93,8 +92,8 @@
 /// Short hash of a gateway's name, for uses where a collision is harmless.
 std::uint32_t vmHash(const VmName &vm);
 
-/// Maximum number of live gateways in one heartbeat: 0.1 KB. With about twelve
-/// heartbeats a second, these cover 300 gateways.
+/// Maximum number of live gateways in one heartbeat: 0.1 KB. With about twelve heartbeats a
+/// second, these cover 300 gateways.
 inline constexpr std::size_t maxReportedGateways = 24;
 
 /// A datagram with the sender's versions, the load that it causes, and the live gateways it knows.
@@ -117,8 +116,8 @@
     std::vector<CompactLimit> limits; ///< some of those received recently
     std::vector<UpstreamId> leaving; ///< some that announced it recently
     std::vector<GatewayEntry> sample; ///< some gateways that were recently alive
-    std::vector<CompactLiveGateway>
-        liveGateways; ///< more of them, where heartbeats do not reach all gateways
+    /// More live gateways, in fleets where heartbeats do not reach all gateways in time.
+    std::vector<CompactLiveGateway> liveGateways;
 
     static constexpr std::int32_t unknownAge = -1;
 
--- a/src/peer/gatewaypeers.cpp
+++ b/src/peer/gatewaypeers.cpp
@@ -27,8 +27,8 @@
 using boost::system::error_code;
 
 constexpr std::size_t maxDatagramBytes = 8192; ///< a heartbeat has at most about 1 KB
-constexpr std::size_t sampleSize =
-    2; ///< gateways in a heartbeat; each gateway learns of all within a few rounds
+/// Gateways in a sample; with two, each gateway learns of all others within a few rounds.
+constexpr std::size_t sampleSize = 2;
 constexpr std::size_t maxPeers = 2000; ///< about 200 bytes each
 constexpr Duration minAnnounceInterval = milliseconds(50); ///< between heartbeats sent out of turn
 /// Age at which the list of the other gateways is rebuilt, which takes a lookup for each of them.
