--- a/src/forward/crashdetector.h
+++ b/src/forward/crashdetector.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Tells an upstream whose process ended from one whose connection alone broke.
+/// Detects whether an upstream's process crashed or only its connection broke.
 
 #pragma once
 
@@ -21,43 +21,45 @@
 
 namespace reachlead {
 
-/// A call whose connection broke says nothing of why. One connection attempt does: where nobody
-/// listens any more, the process is gone, and it ended under all calls that were lost with it. An
-/// upstream that is there keeps the connection for its next call. One attempt at a time for each
-/// upstream, however many calls were lost. One thread.
+/// Probes upstreams after calls have lost their connections. A broken connection does not tell
+/// whether the upstream's process still runs, but one connection attempt does: if it is refused,
+/// the process has exited, and the crash is reported for all calls that lost it. If it succeeds,
+/// the connection goes to the pool for the next call. There is one attempt at a time for each
+/// upstream, however many calls were lost. Not thread-safe.
 class CrashDetector
 {
 public:
-    /// Told of each call that an upstream's process ended under.
+    /// Called for each call whose upstream's process crashed.
     using OnCrash = std::function<void(const RequestDigest &, const UpstreamId &)>;
 
     CrashDetector(boost::asio::io_context &io, ConnectionPool &pool, GatewayState &state,
-                  Counters &counters, OnCrash onEnded)
+                  Counters &counters, OnCrash onCrash)
         : m_io(io), m_pool(pool), m_state(state), m_counters(counters),
-          m_onEnded(std::move(onEnded))
+          m_onCrash(std::move(onCrash))
     { }
 
-    /// A call lost its upstream.
+    /// A call lost its connection to an upstream.
     void connectionLost(const UpstreamEntry &entry, const RequestDigest &request);
 
-    /// An upstream's VM answers within some round trips between zones, or it is not the process
-    /// alone that is gone.
+    /// If only the process has exited, its VM refuses the connection within a few round trips
+    /// between availability zones. A time-out is therefore not reported as a crash.
     static constexpr Duration connectTimeout = milliseconds(300);
-    /// Calls that find out this long after the others that the same process ended are not asked
-    /// about again.
+    /// Calls that lose an upstream within this time after its crash was detected are reported
+    /// without another probe.
     static constexpr Duration crashRetention = seconds(2);
 
 private:
-    boost::asio::awaitable<void> look(UpstreamEntry entry);
+    boost::asio::awaitable<void> probe(UpstreamEntry entry);
     void dropExpired(Time now);
 
     boost::asio::io_context &m_io;
     ConnectionPool &m_pool;
     GatewayState &m_state;
     Counters &m_counters;
-    OnCrash m_onEnded;
-    std::map<UpstreamId, std::vector<RequestDigest>> m_open; ///< looked at now, and lost with it
-    std::map<UpstreamId, Time> m_ended; ///< found out lately
+    OnCrash m_onCrash;
+    std::map<UpstreamId, std::vector<RequestDigest>>
+        m_lostCalls; ///< lost calls of upstreams being probed
+    std::map<UpstreamId, Time> m_crashedAt; ///< when each recent crash was detected
 };
 
 } // namespace reachlead
