--- a/src/forward/refusal.cpp
+++ b/src/forward/refusal.cpp
@@ -14,25 +14,26 @@
 
 namespace http = boost::beast::http;
 
-/// Part of a caller's time after which it should come back at the latest: the rest is left for the
-/// attempt itself.
-constexpr int patiencePart = 8;
-constexpr Duration shortestPause = milliseconds(50); ///< a few round trips
+/// A caller is asked to wait for at most this fraction of its remaining timeout; the rest is left
+/// for the retry itself.
+constexpr int maxWaitDivisor = 8;
+constexpr Duration minRetryAfter = milliseconds(50); ///< a few round trips
 
 } // namespace
 
-std::optional<Duration> computeRetryAfter(ErrorKind kind, std::optional<Duration> patience)
+std::optional<Duration> computeRetryAfter(ErrorKind kind, std::optional<Duration> timeLeft)
 {
-    const auto pause = errorRow(kind).retryAfter;
-    if (!pause)
+    const auto kindRetryAfter = errorRow(kind).retryAfter;
+    if (!kindRetryAfter)
         return std::nullopt;
-    const Duration wanted = *pause;
-    if (!patience)
-        return wanted;
-    return std::max<Duration>(shortestPause, std::min<Duration>(wanted, *patience / patiencePart));
+    const Duration retryAfter = *kindRetryAfter;
+    if (!timeLeft)
+        return retryAfter;
+    return std::max<Duration>(minRetryAfter,
+                              std::min<Duration>(retryAfter, *timeLeft / maxWaitDivisor));
 }
 
-FullAnswer makeRefusal(const Error &error, std::optional<Duration> comeBack, bool keepAlive)
+FullAnswer makeRefusal(const Error &error, std::optional<Duration> retryAfter, bool keepAlive)
 {
     const ErrorRow &row = errorRow(error.kind);
     const boost::json::object body{
@@ -41,8 +42,8 @@
     answer.version(11);
     answer.result(row.status);
     answer.set(http::field::content_type, "application/json");
-    if (comeBack)
-        answer.set(http::field::retry_after, fmt::format("{:.3f}", toSeconds(*comeBack)));
+    if (retryAfter)
+        answer.set(http::field::retry_after, fmt::format("{:.3f}", toSeconds(*retryAfter)));
     answer.keep_alive(keepAlive);
     answer.body() = boost::json::serialize(body);
     answer.prepare_payload();
--- a/src/forward/refusal.h
+++ b/src/forward/refusal.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The answers that a gateway gives by itself.
+/// Error answers made by the gateway itself.
 
 #pragma once
 
@@ -14,12 +14,13 @@
 
 namespace reachlead {
 
-/// Makes the answer of an error kind: its status, a JSON body that says what is known of the call,
-/// and when to come back.
-FullAnswer makeRefusal(const Error &error, std::optional<Duration> comeBack, bool keepAlive);
+/// Makes the error answer: the status of the error kind, a JSON body with the kind and the outcome
+/// of the call, and a Retry-After header if \p retryAfter is set.
+FullAnswer makeRefusal(const Error &error, std::optional<Duration> retryAfter, bool keepAlive);
 
-/// When a refused caller should come back, given how long it still waits: the kind's own pause,
-/// but soon enough that another attempt can be whole. None when waiting does not help.
-std::optional<Duration> computeRetryAfter(ErrorKind kind, std::optional<Duration> patience);
+/// Returns the time after which a refused caller should retry: that of the error kind, reduced so
+/// that enough of \p timeLeft, the caller's remaining timeout, is left for the retry. None if
+/// waiting does not help.
+std::optional<Duration> computeRetryAfter(ErrorKind kind, std::optional<Duration> timeLeft);
 
 } // namespace reachlead
