--- a/src/forward/forwarder.cpp
+++ b/src/forward/forwarder.cpp
@@ -19,27 +19,27 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// Pause after a failed accept, as when no descriptor is left.
-constexpr Duration acceptPause = milliseconds(50);
+/// Delay after a failed accept, for example when no file descriptor is left.
+constexpr Duration acceptRetryDelay = milliseconds(50);
 
-tcp::endpoint endpointOf(const Endpoint &at)
+tcp::endpoint toTcpEndpoint(const Endpoint &at)
 {
     return {asio::ip::make_address(at.address), at.port};
 }
 
 } // namespace
 
-Forwarder::Forwarder(const Options &options, ForwardContext &shared)
-    : m_options(options), m_shared(shared), m_acceptor(shared.io, endpointOf(options.listen))
+Forwarder::Forwarder(const Options &options, ForwardContext &context)
+    : m_options(options), m_context(context), m_acceptor(context.io, toTcpEndpoint(options.listen))
 {
-    asio::co_spawn(m_shared.io, acceptLoop(), asio::detached);
+    asio::co_spawn(m_context.io, acceptLoop(), asio::detached);
 }
 
 const CallerLimits &Forwarder::limits() const
 {
-    static const CallerLimits untilConfigured;
-    const RouteTablePtr &table = m_shared.state.table();
-    return table ? table->config().limits : untilConfigured;
+    static const CallerLimits defaultLimits;
+    const RouteTablePtr &table = m_context.state.table();
+    return table ? table->config().limits : defaultLimits;
 }
 
 asio::awaitable<void> Forwarder::acceptLoop()
@@ -51,44 +51,44 @@
         if (!m_acceptor.is_open())
             co_return;
         if (ec) {
-            Timer pause(m_shared.io);
-            pause.expires_after(acceptPause);
-            co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+            Timer timer(m_context.io);
+            timer.expires_after(acceptRetryDelay);
+            co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             continue;
         }
-        if (m_open.size() >= m_options.maxConnections) {
-            m_shared.counters.refused(ErrorKind::OpenRequests);
-            continue; // closed unread, so the caller may come again
+        if (m_connections.size() >= m_options.maxConnections) {
+            m_context.counters.refused(ErrorKind::OpenRequests);
+            continue; // closed before any request is read, so the caller can retry safely
         }
         setSocketTimeouts(socket);
         auto caller = std::make_shared<CallerStream>(std::move(socket));
-        m_open.insert(caller);
+        m_connections.insert(caller);
         caller->start();
-        asio::co_spawn(m_shared.io, serve(caller), asio::detached);
+        asio::co_spawn(m_context.io, serve(caller), asio::detached);
     }
 }
 
 asio::awaitable<void> Forwarder::serve(std::shared_ptr<CallerStream> caller)
 {
-    m_shared.counters.adjust(Gauge::OpenConnections, 1);
-    bool goOn = true;
-    while (goOn)
-        goOn = co_await serveOne(*caller);
+    m_context.counters.adjust(Gauge::OpenConnections, 1);
+    bool keepAlive = true;
+    while (keepAlive)
+        keepAlive = co_await serveOne(*caller);
     if (!caller->isDisconnected())
         co_await caller->closeGracefully();
     caller->abort();
-    m_open.erase(caller);
-    m_shared.counters.adjust(Gauge::OpenConnections, -1);
+    m_connections.erase(caller);
+    m_context.counters.adjust(Gauge::OpenConnections, -1);
 }
 
 asio::awaitable<bool> Forwarder::serveOne(CallerStream &caller)
 {
-    const CallerLimits bounds = limits();
-    std::optional<CallerHttpRequest> request = co_await caller.read(bounds);
+    const CallerLimits callerLimits = limits();
+    std::optional<CallerHttpRequest> request = co_await caller.read(callerLimits);
     if (!request) {
         const Error error = caller.error();
         if (error.kind != ErrorKind::None && !caller.isDisconnected()) {
-            m_shared.counters.refused(error.kind);
+            m_context.counters.refused(error.kind);
             LogLine(LogLevel::Info, "request-unreadable")
                 .with("kind", errorRow(error.kind).name)
                 .with("reason", error.reason);
@@ -97,38 +97,40 @@
         }
         co_return false;
     }
-    ForwardCall call(m_shared, caller, std::move(*request));
-    if (m_shared.acceptsRequests)
+    ForwardCall call(m_context, caller, std::move(*request));
+    if (m_context.acceptsRequests)
         co_return co_await call.run();
-    const Error late{ErrorKind::RouterStopping, "the request came too late before the stop"};
-    co_return co_await call.refuse(late);
+    const Error error{ErrorKind::RouterStopping,
+                      "the request arrived after the gateway stopped taking requests"};
+    co_return co_await call.refuse(error);
 }
 
 void Forwarder::beginStop()
 {
-    m_shared.stopping = true;
+    m_context.stopping = true;
 }
 
 void Forwarder::closeIdle()
 {
-    m_shared.acceptsRequests = false;
+    m_context.acceptsRequests = false;
     boost::system::error_code ec;
     m_acceptor.close(ec);
-    for (const auto &caller : m_open)
+    for (const auto &caller : m_connections)
         caller->stopWhenIdle();
 }
 
 void Forwarder::terminateCalls()
 {
-    const auto calls = *m_shared.activeCalls; // a call that ends takes itself out
+    const auto calls = *m_context.activeCalls; // copied, as a call removes itself when it ends
     for (ForwardCall *call : calls)
         call->terminate();
 }
 
 void Forwarder::abortAll()
 {
-    const auto open = m_open; // abort() has the connections erase themselves
-    for (const auto &caller : open)
+    const auto connections =
+        m_connections; // copied, as abort() makes the connections remove themselves
+    for (const auto &caller : connections)
         caller->abort();
 }
 
--- a/src/forward/forwarder.h
+++ b/src/forward/forwarder.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Passes callers' requests on to upstreams that are called directly.
+/// Forwards callers' requests to upstreams that are called directly.
 
 #pragma once
 
@@ -28,7 +28,7 @@
 class CrashDetector;
 class ForwardCall;
 
-/// What all calls of a gateway share. One thread.
+/// Objects shared by all calls of a gateway. Not thread-safe.
 struct ForwardContext
 {
     boost::asio::io_context &io;
@@ -38,44 +38,48 @@
     LatencyHistograms &latencies;
     ConnectionPool pool;
     std::mt19937_64 random{std::random_device{}()};
-    /// Calls at work. Held by each of them, as the last ones end with the event loop.
+    /// Calls in progress. Shared with each of them, as the last ones are destroyed with the event
+    /// loop.
     std::shared_ptr<std::set<ForwardCall *>> activeCalls =
         std::make_shared<std::set<ForwardCall *>>();
-    UpstreamSelector *selector = nullptr; ///< chooses upstreams; null: the state's own book
+    UpstreamSelector *selector = nullptr; ///< null: GatewayState::upstreams() selects
     CrashDetector *crashDetector =
-        nullptr; ///< told of calls that lost their upstream; null: nobody is
-    /// Told of a request that completed although an upstream had ended under it; may be empty.
+        nullptr; ///< receives calls that lost their upstream; may be null
+    /// Called for a request that completed although an upstream had crashed while running it; may
+    /// be empty.
     std::function<void(const RequestDigest &)> onRequestCleared = {};
-    /// Told when an upstream began to work on a call of an account; may be empty.
+    /// Called when an upstream starts execution of a call of an account; may be empty.
     std::function<void(const AccountName &)> onExecutionStarted = {};
     bool stopping = false;
-    bool acceptsRequests = true; ///< what is read after that is refused as not run
+    bool acceptsRequests = true; ///< if false, new requests are refused as not run
 };
 
-/// Accepts callers and serves each connection. One thread.
+/// Accepts callers' connections and serves their requests. Not thread-safe.
 class Forwarder
 {
 public:
     struct Options
     {
         Endpoint listen;
-        std::size_t maxConnections = 3000; ///< open callers' connections
+        std::size_t maxConnections = 3000; ///< from callers; further ones are closed
     };
 
-    Forwarder(const Options &options, ForwardContext &shared);
+    Forwarder(const Options &options, ForwardContext &context);
 
-    /// Begins a planned stop: answers say that the connection ends, idle connections are closed
-    /// when \p closeIdle is called, nothing at work is cut.
+    /// Starts a graceful stop: answers announce that the connection will be closed, and calls in
+    /// progress continue.
     void beginStop();
+    /// Stops accepting connections and requests, and closes idle connections.
     void closeIdle();
 
-    /// Ends the calls that are left: those whose answer has not begun are told so, the others cut.
+    /// Ends the remaining calls: with an error answer if the answer has not started yet, otherwise
+    /// by closing the connection.
     void terminateCalls();
 
-    /// Cuts what is left.
+    /// Closes the remaining connections.
     void abortAll();
 
-    std::size_t openConnections() const { return m_open.size(); }
+    std::size_t openConnections() const { return m_connections.size(); }
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
 
 private:
@@ -85,9 +89,9 @@
     const CallerLimits &limits() const;
 
     Options m_options;
-    ForwardContext &m_shared;
+    ForwardContext &m_context;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    std::set<std::shared_ptr<CallerStream>> m_open;
+    std::set<std::shared_ptr<CallerStream>> m_connections;
 };
 
 } // namespace reachlead
