--- a/src/forward/forwardcall.h
+++ b/src/forward/forwardcall.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One caller's request on its way: chosen upstreams, sends, the answer back.
+/// Forwards one caller's request: upstream selection, sends, and delivery of the answer.
 
 #pragma once
 
@@ -20,121 +20,121 @@
 
 namespace reachlead {
 
-/// Runs one request from its arrival to the end of its answer. Lives on the coroutine's frame.
+/// Handles one request from its arrival to the end of its answer. Lives in the coroutine frame.
 class ForwardCall
 {
 public:
-    ForwardCall(ForwardContext &shared, CallerStream &caller, CallerHttpRequest request);
+    ForwardCall(ForwardContext &context, CallerStream &caller, CallerHttpRequest request);
     ~ForwardCall();
     ForwardCall(const ForwardCall &) = delete;
     ForwardCall &operator=(const ForwardCall &) = delete;
 
-    /// True when the connection may take another request.
+    /// Returns true if the connection can take another request.
     boost::asio::awaitable<bool> run();
 
-    /// Answers without an upstream, with a status of the gateway's own. As run().
+    /// Sends an error answer made by the gateway itself. Returns the same as run().
     boost::asio::awaitable<bool> refuse(const Error &error);
 
-    /// Ends the call at once, as the process ends: what is under way at the upstream is broken off.
-    void terminate() { stop(Stop::ProcessEnds); }
+    /// Ends the call at once because the process is exiting; closes its connection to the upstream.
+    void terminate() { stop(Stop::ProcessExiting); }
 
 private:
-    /// Why a send was broken off from this side.
-    enum class Stop : std::uint8_t { None, CallerDisconnected, Expired, ProcessEnds };
+    /// Why this gateway stopped the call.
+    enum class Stop : std::uint8_t { None, CallerDisconnected, Expired, ProcessExiting };
 
-    // Before the first send.
+    // Preparation
     std::optional<Error> resolve();
-    void setLimit();
-    void watch();
+    void setDeadline();
+    void installStopHandlers();
     void stop(Stop why);
 
-    // Sends.
-    std::optional<ForwardDecision> quarantined();
-    SelectionQuery makeAsk() const;
+    // Sends
+    std::optional<ForwardDecision> checkQuarantine();
+    SelectionQuery makeSelectionQuery() const;
     boost::asio::awaitable<PlacementResult> choose();
     boost::asio::awaitable<std::optional<ForwardDecision>> sendOnce();
     boost::asio::awaitable<UpstreamChannelPtr> openChannel(const UpstreamEntry &entry);
     boost::asio::awaitable<SendResult> exchange(const UpstreamEntry &entry);
-    boost::asio::awaitable<SendResult> takeAnswer();
-    boost::asio::awaitable<SendResult> takeWhole();
-    boost::asio::awaitable<SendResult> takeEvents();
-    boost::asio::awaitable<SendResult> takeLong(std::string first);
-    boost::asio::awaitable<bool> deliverEvents(const std::string &events);
+    boost::asio::awaitable<SendResult> receiveAnswer();
+    boost::asio::awaitable<SendResult> bufferAnswer();
+    boost::asio::awaitable<SendResult> relayEvents();
+    boost::asio::awaitable<SendResult> relayBody(std::string first);
+    boost::asio::awaitable<bool> sendEvents(const std::string &events);
     UpstreamCall makeCall(const UpstreamEntry &entry) const;
-    SendResult brokenEnd() const;
-    SendResult judgeHead() const;
-    ForwardState stateNow(SendResult end);
-    void noteEnd(const UpstreamEntry &entry, SendResult end);
-    void noteLost(const UpstreamEntry &entry);
-    void noteStatement();
-    void noteFirst();
-    void noteBegan();
-    void notePause(Time now);
-    std::string_view missedBound() const;
+    SendResult failureResult() const;
+    SendResult classifyHead() const;
+    ForwardState makeForwardState(SendResult result);
+    void recordResult(const UpstreamEntry &entry, SendResult result);
+    void recordUpstreamLost(const UpstreamEntry &entry);
+    void applyNotice();
+    void recordFirstByte();
+    void recordExecutionStart();
+    void recordTokenGap(Time now);
+    std::string_view missedTarget() const;
     RequestContent content() const;
     const RequestDigest &digest();
     bool mayBeSuspect() const;
 
-    // The answer to the caller.
+    // Answer to the caller
     boost::asio::awaitable<bool> finish(ForwardDecision decision);
-    boost::asio::awaitable<bool> deliverWhole();
+    boost::asio::awaitable<bool> deliverAnswer();
     boost::asio::awaitable<bool> sendHead();
     AnswerHead makeHead() const;
     std::int64_t stateAgeMs() const;
-    void report(std::string_view outcome, ErrorKind kind, unsigned status);
+    void logResult(std::string_view outcome, ErrorKind kind, unsigned status);
 
-    ErrorKind kindWithoutUpstream() const;
-    Duration timeLeft() const { return m_limit - RuntimeClock::now(); }
-    ErrorKind kindOfStop() const;
+    ErrorKind unavailableKind() const;
+    Duration timeLeft() const { return m_deadline - RuntimeClock::now(); }
+    ErrorKind stopKind() const;
 
-    ForwardContext &m_shared;
-    std::shared_ptr<std::set<ForwardCall *>> m_calls; ///< with this one
+    ForwardContext &m_context;
+    std::shared_ptr<std::set<ForwardCall *>> m_activeCalls; ///< includes this one
     CallerStream &m_caller;
     CallerHttpRequest m_request;
     CallMetadata m_metadata;
-    std::optional<RequestDigest> m_digest; ///< once it was asked for: bodies may be long
+    std::optional<RequestDigest> m_digest; ///< computed on first use, as bodies may be long
     RouteTablePtr m_table; ///< in force when the request arrived
     const Route *m_route = nullptr;
     const AccountKeys *m_account = nullptr;
     ServiceName m_service;
-    std::optional<ZoneSet> m_zones; ///< whose upstreams may work on it; nothing: all
-    Time m_arrived;
-    Time m_limit; ///< by when the caller must have its answer
-    Timer m_timer; ///< ends the call at m_limit
+    std::optional<ZoneSet> m_zones; ///< zones whose upstreams may be used; none: all zones
+    Time m_arrivedAt;
+    Time m_deadline; ///< of the whole answer
+    Timer m_timer; ///< stops the call at m_deadline
     Stop m_stop = Stop::None;
-    std::shared_ptr<int> m_alive = std::make_shared<int>(); ///< ends with this object
+    std::shared_ptr<int> m_lifetime = std::make_shared<int>(); ///< expires with this object
 
     std::set<UpstreamId> m_tried;
-    unsigned m_sends = 0; ///< that may have reached an upstream
-    unsigned m_connectFailures = 0; ///< that never left, as in ForwardState
+    unsigned m_sends = 0; ///< attempts that may have reached an upstream
+    unsigned m_connectFailures = 0; ///< as in ForwardState
     unsigned m_connectRefusals = 0; ///< as in ForwardState
     bool m_mayHaveRun = false;
     UpstreamId m_lastUpstream;
     std::string m_lastReason;
-    bool m_nobodyListened = false; ///< at the upstream that the last connection was opened to
+    bool m_isConnectionRefused = false; ///< by the last upstream
     double m_lastCost = 0;
-    VmName m_placedBy; ///< the gateway that chose the last upstream
-    Duration m_placing{}; ///< time that the choices took
-    TokenCount m_toRead = 0; ///< tokens that the last upstream was believed to have to read
-    TokenCount m_ahead = 0; ///< as in Choice, of the send under way
-    Time m_sentAt{}; ///< of the send under way
-    bool m_isAwaited = false; ///< its first event is still to come
-    std::optional<Duration> m_comeBack; ///< refused early: when it is of use to come again
-    TokenCount m_unread = 0; ///< tokens of the send under way, without a first event
-    bool m_isBrief = false; ///< the prompt counts as a short one
-    std::optional<Endpoint> m_fetchFrom; ///< of the send under way: whose cache to copy from
-
-    UpstreamChannelPtr m_channel; ///< of the send under way
+    VmName m_placedBy; ///< the gateway that selected the last upstream
+    Duration m_placementDuration{}; ///< total duration of upstream selections
+    TokenCount m_prefillTokens = 0; ///< expected by the last selection
+    TokenCount m_tokensToFirstEvent = 0; ///< as in Selection, of the current send
+    Time m_sentAt{}; ///< of the current send
+    bool m_awaitsFirstEvent = false; ///< the current send has no event yet
+    std::optional<Duration> m_retryAfter; ///< of an early refusal or a quarantine
+    TokenCount m_pendingPrefillTokens = 0; ///< of the current send, until its first event
+    bool m_isShortPrompt = false; ///< as in Selection
+    std::optional<Endpoint> m_fetchFrom; ///< of the current send: whose cache to copy from
+
+    UpstreamChannelPtr m_channel; ///< of the current send
     std::optional<UpstreamExchange> m_exchange;
     EventSplitter m_events;
-    std::string m_wholeBody;
+    std::string m_body;
     bool m_headDelivered = false;
-    bool m_bodyWhole = false; ///< an answer in pieces was delivered to its end
-    bool m_hasBegun = false; ///< an upstream is known to have worked on it
-    std::optional<Time> m_firstByte;
-    Time m_lastEvent{}; ///< when events were last passed on
-    Duration m_longestPause{}; ///< between events that were passed on
-    std::uint64_t m_unreadAtPause = 0; ///< prompt tokens at the engine as the longest pause ended
+    bool m_isBodyComplete = false; ///< a chunked answer was passed on up to its end
+    bool m_isExecutionStarted = false; ///< an upstream is known to have started execution
+    std::optional<Time> m_firstByteAt;
+    Time m_lastEventAt{}; ///< when events were last passed on
+    Duration m_maxTokenGap{}; ///< longest time between events passed on
+    std::uint64_t m_prefillTokensAtMaxGap = 0; ///< queued at the engine when that gap ended
 };
 
 } // namespace reachlead
--- a/src/forward/forwardcall_answer.cpp
+++ b/src/forward/forwardcall_answer.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// ForwardCall's way of an answer from the upstream to the caller.
+/// The part of ForwardCall that passes an upstream's answer on to the caller.
 
 #include "forwardcall.h"
 
@@ -15,11 +15,11 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-/// Answers up to this size are held until they are whole, so that one that breaks off can be
-/// replaced; longer ones are passed on as they come.
-constexpr std::size_t mostHeld = 128U << 10U; // bytes
+/// Answers up to this size are buffered, so that a truncated one can be replaced by a retry. Longer
+/// ones are passed on as they arrive.
+constexpr std::size_t maxBufferedBytes = 128U << 10U; // bytes
 
-/// Statuses that promise a caller that its request did not run.
+/// Statuses that tell a caller that its request was not executed.
 constexpr bool promisesNotRun(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
@@ -32,77 +32,77 @@
 
 } // namespace
 
-SendResult ForwardCall::brokenEnd() const
+SendResult ForwardCall::failureResult() const
 {
     return m_exchange->isCorrupt() ? SendResult::Corrupt : SendResult::Lost;
 }
 
-/// What the head alone says of the send.
-SendResult ForwardCall::judgeHead() const
+/// Classifies the send by the head of the answer alone.
+SendResult ForwardCall::classifyHead() const
 {
     const unsigned status = m_exchange->status();
     const AnswerMetadata &metadata = m_exchange->metadata();
     if (metadata.notRun)
         return SendResult::RefusedNotRun;
     if (promisesNotRun(status))
-        return SendResult::Corrupt; // a promise that the upstream does not vouch for
+        return SendResult::Corrupt; // the upstream does not confirm it in its headers
     if (status >= 500)
         return SendResult::ServerError;
     const bool isSuccess = status >= 200 && status < 300;
     return isSuccess && !metadata.isSigned ? SendResult::Corrupt : SendResult::Complete;
 }
 
-asio::awaitable<SendResult> ForwardCall::takeAnswer()
+asio::awaitable<SendResult> ForwardCall::receiveAnswer()
 {
-    const SendResult judged = judgeHead();
-    noteStatement();
-    if (judged == SendResult::Corrupt)
-        m_lastReason = "the answer lacks the upstream's signature or its word for a refusal";
-    if (judged == SendResult::RefusedNotRun)
+    const SendResult headResult = classifyHead();
+    applyNotice();
+    if (headResult == SendResult::Corrupt)
+        m_lastReason = "the answer lacks the upstream's signature or its confirmation of a refusal";
+    if (headResult == SendResult::RefusedNotRun)
         m_lastReason = fmt::format("the upstream refused with {}", m_exchange->status());
-    if (judged == SendResult::Complete && isEventStream(m_exchange->head()))
-        co_return co_await takeEvents();
+    if (headResult == SendResult::Complete && isEventStream(m_exchange->head()))
+        co_return co_await relayEvents();
     if (m_headDelivered)
-        co_return judged == SendResult::Complete ? SendResult::Corrupt : judged;
-    const SendResult end = co_await takeWhole();
-    co_return end == SendResult::Complete ? judged : end;
+        co_return headResult == SendResult::Complete ? SendResult::Corrupt : headResult;
+    const SendResult result = co_await bufferAnswer();
+    co_return result == SendResult::Complete ? headResult : result;
 }
 
-/// Takes up what the upstream says of its own state, whatever becomes of the call.
-void ForwardCall::noteStatement()
+/// Applies the notice in the answer to the gateway's state, whatever the result of the call.
+void ForwardCall::applyNotice()
 {
     const std::optional<UpstreamNotice> &notice = m_exchange->metadata().notice;
     if (!notice)
         return;
-    const auto news = m_shared.state.applyNotice(m_lastUpstream, *notice);
-    if (news.hasNewLimit)
-        m_shared.counters.add(Counter::LimitsReceived);
-    if (news.isNewlyLeaving)
-        m_shared.counters.add(Counter::LeavingReceived);
-    if (news.hasBackoff)
-        m_shared.counters.add(Counter::BackoffsReceived);
+    const auto changes = m_context.state.applyNotice(m_lastUpstream, *notice);
+    if (changes.hasNewLimit)
+        m_context.counters.add(Counter::LimitsReceived);
+    if (changes.isNewlyLeaving)
+        m_context.counters.add(Counter::LeavingReceived);
+    if (changes.hasBackoff)
+        m_context.counters.add(Counter::BackoffsReceived);
 }
 
-/// Holds the answer until it is whole, or passes it on once it is too long for that.
-asio::awaitable<SendResult> ForwardCall::takeWhole()
+/// Buffers the answer until it is complete; passes it on once it exceeds maxBufferedBytes.
+asio::awaitable<SendResult> ForwardCall::bufferAnswer()
 {
-    m_wholeBody.clear();
+    m_body.clear();
     while (true) {
         const auto piece = co_await m_exchange->readSome();
         if (!piece)
-            co_return brokenEnd();
-        noteFirst();
+            co_return failureResult();
+        recordFirstByte();
         if (piece->empty())
             co_return SendResult::Complete;
-        m_wholeBody += *piece;
-        if (m_wholeBody.size() > mostHeld) {
-            std::string first = std::move(m_wholeBody);
-            co_return co_await takeLong(std::move(first));
+        m_body += *piece;
+        if (m_body.size() > maxBufferedBytes) {
+            std::string first = std::move(m_body);
+            co_return co_await relayBody(std::move(first));
         }
     }
 }
 
-asio::awaitable<SendResult> ForwardCall::takeLong(std::string first)
+asio::awaitable<SendResult> ForwardCall::relayBody(std::string first)
 {
     std::optional<std::string> piece = std::move(first);
     bool sent = co_await sendHead();
@@ -114,19 +114,19 @@
     if (!sent)
         co_return SendResult::Lost;
     if (!piece)
-        co_return brokenEnd();
-    m_bodyWhole = true;
+        co_return failureResult();
+    m_isBodyComplete = true;
     co_return SendResult::Complete;
 }
 
-/// Passes on whole events as they come.
-asio::awaitable<SendResult> ForwardCall::takeEvents()
+/// Passes on complete events as they arrive.
+asio::awaitable<SendResult> ForwardCall::relayEvents()
 {
     m_events.dropPartialEvent();
     while (true) {
         const auto piece = co_await m_exchange->readSome();
         if (!piece)
-            co_return brokenEnd();
+            co_return failureResult();
         if (piece->empty())
             break;
         bool tooLong = false;
@@ -135,7 +135,7 @@
             co_return SendResult::Corrupt;
         if (events.empty())
             continue;
-        const bool sent = co_await deliverEvents(events);
+        const bool sent = co_await sendEvents(events);
         if (!sent)
             co_return SendResult::Lost;
     }
@@ -144,15 +144,15 @@
         co_return SendResult::Lost;
     }
     if (!m_headDelivered)
-        co_return SendResult::Complete; // a stream without events: delivered as an empty answer
-    m_bodyWhole = true;
+        co_return SendResult::Complete; // no events: delivered as an empty answer
+    m_isBodyComplete = true;
     co_return SendResult::Complete;
 }
 
-asio::awaitable<bool> ForwardCall::deliverEvents(const std::string &events)
+asio::awaitable<bool> ForwardCall::sendEvents(const std::string &events)
 {
-    noteFirst();
-    notePause(RuntimeClock::now());
+    recordFirstByte();
+    recordTokenGap(RuntimeClock::now());
     if (!m_headDelivered) {
         const bool sent = co_await sendHead();
         if (!sent)
@@ -161,58 +161,62 @@
     co_return co_await m_caller.sendChunk(events);
 }
 
-/// Keeps the longest pause, and what was read beside the stream when it ended.
-void ForwardCall::notePause(Time now)
+/// Records the longest token gap, and the prefill tokens that were queued beside the stream then.
+void ForwardCall::recordTokenGap(Time now)
 {
-    const Duration pause = m_lastEvent == Time{} ? Duration{} : Duration(now - m_lastEvent);
-    m_lastEvent = now;
-    if (pause <= m_longestPause)
+    const Duration gap = m_lastEventAt == Time{} ? Duration{} : Duration(now - m_lastEventAt);
+    m_lastEventAt = now;
+    if (gap <= m_maxTokenGap)
         return;
-    m_longestPause = pause;
-    if (pause > milliseconds(m_route->gapTargetMs))
-        m_unreadAtPause = m_shared.state.upstreams().load(m_lastUpstream, now).prefillTokens;
+    m_maxTokenGap = gap;
+    if (gap > milliseconds(m_route->gapTargetMs))
+        m_prefillTokensAtMaxGap =
+            m_context.state.upstreams().load(m_lastUpstream, now).prefillTokens;
 }
 
-/// Which of the route's bounds a delivered stream missed first: `first` event, `pause`, or none.
-std::string_view ForwardCall::missedBound() const
+/// Returns which target of the route a delivered stream missed: `first` for the first event,
+/// `pause` for a token gap, or `-` for none.
+std::string_view ForwardCall::missedTarget() const
 {
-    if (m_route == nullptr || !m_firstByte)
+    if (m_route == nullptr || !m_firstByteAt)
         return "-";
     const auto target = milliseconds(m_route->targetLatencyMs);
-    if (m_route->targetLatencyMs > 0 && *m_firstByte - m_arrived > target)
+    if (m_route->targetLatencyMs > 0 && *m_firstByteAt - m_arrivedAt > target)
         return "first";
-    const bool isPaused = m_longestPause > milliseconds(m_route->gapTargetMs);
-    return m_route->gapTargetMs > 0 && isPaused ? "pause" : "-";
+    const bool isStalled = m_maxTokenGap > milliseconds(m_route->gapTargetMs);
+    return m_route->gapTargetMs > 0 && isStalled ? "pause" : "-";
 }
 
-void ForwardCall::noteFirst()
+void ForwardCall::recordFirstByte()
 {
-    if (m_unread > 0)
-        m_shared.state.upstreams().firstEvent(m_lastUpstream, std::exchange(m_unread, 0));
-    noteBegan();
-    if (std::exchange(m_isAwaited, false))
-        m_shared.state.upstreams().recordPrefill(m_service, m_ahead,
-                                                 RuntimeClock::now() - m_sentAt);
-    if (m_firstByte)
+    if (m_pendingPrefillTokens > 0)
+        m_context.state.upstreams().firstEvent(m_lastUpstream,
+                                               std::exchange(m_pendingPrefillTokens, 0));
+    recordExecutionStart();
+    if (std::exchange(m_awaitsFirstEvent, false))
+        m_context.state.upstreams().recordPrefill(m_service, m_tokensToFirstEvent,
+                                                  RuntimeClock::now() - m_sentAt);
+    if (m_firstByteAt)
         return;
-    m_firstByte = RuntimeClock::now();
-    m_shared.latencies.recordLatency(LatencyKind::FirstByte, *m_firstByte - m_arrived);
+    m_firstByteAt = RuntimeClock::now();
+    m_context.latencies.recordLatency(LatencyKind::FirstByte, *m_firstByteAt - m_arrivedAt);
 }
 
-/// Counts the call as used by its account, once however often it is sent.
-void ForwardCall::noteBegan()
+/// Counts the call for its account, once however many times it is sent.
+void ForwardCall::recordExecutionStart()
 {
     const bool isRefused = m_exchange && m_exchange->metadata().notRun;
-    if (isRefused || std::exchange(m_hasBegun, true))
+    if (isRefused || std::exchange(m_isExecutionStarted, true))
         return;
-    if (m_account != nullptr && m_shared.onExecutionStarted)
-        m_shared.onExecutionStarted(m_account->name);
+    if (m_account != nullptr && m_context.onExecutionStarted)
+        m_context.onExecutionStarted(m_account->name);
 }
 
 asio::awaitable<bool> ForwardCall::sendHead()
 {
     m_headDelivered = true;
-    // Named, as GCC 12 destroys a class temporary of an awaited call twice (its bug 98056 and kin).
+    // A named variable, as GCC 12 destroys temporaries in co_await expressions twice (GCC bug 98056
+    // and related ones).
     AnswerHead head = makeHead();
     co_return co_await m_caller.sendHead(std::move(head));
 }
@@ -225,7 +229,7 @@
     head.result(m_exchange->status());
     const bool chunked = m_request.version() >= 11;
     head.chunked(chunked);
-    head.keep_alive(chunked && m_request.keep_alive() && !m_shared.stopping);
+    head.keep_alive(chunked && m_request.keep_alive() && !m_context.stopping);
     return head;
 }
 
--- a/src/forward/forwardcall_send.cpp
+++ b/src/forward/forwardcall_send.cpp
@@ -2,8 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// ForwardCall's sends to upstreams: the choice of one, one exchange with it, and what its end
-/// says.
+/// The part of ForwardCall that selects upstreams, sends to them and evaluates the results.
 
 #include "forwardcall.h"
 
@@ -20,57 +19,57 @@
 
 namespace asio = boost::asio;
 
-/// A connection that is not open after this is given up: some times the round trip between zones.
-constexpr Duration connectLimit = milliseconds(300);
+/// Time limit for opening a connection: a multiple of the round trip between availability zones.
+constexpr Duration connectTimeout = milliseconds(300);
 
-/// Another send is of use only with this much of the route's target left.
-constexpr int targetPartForSend = 8;
-constexpr Duration leastTimeForSend = milliseconds(20);
+/// A retry needs at least this fraction of the route's target latency, and the minimum below.
+constexpr int targetDivisorForRetry = 8;
+constexpr Duration minTimeForRetry = milliseconds(20);
 
 } // namespace
 
-SelectionQuery ForwardCall::makeAsk() const
+SelectionQuery ForwardCall::makeSelectionQuery() const
 {
-    SelectionQuery ask{m_service, m_metadata.model, m_metadata.prompt, &m_tried,
-                       m_table->service(m_service)};
-    ask.slack = {milliseconds(m_route->targetLatencyMs), timeLeft(),
-                 m_table->isMostUrgent(*m_route, m_service), m_route->priority};
-    ask.permittedZones = m_zones ? &*m_zones : nullptr;
-    ask.mayRefuse = m_tried.empty() && !m_metadata.resumeAfter;
-    return ask;
+    SelectionQuery query{m_service, m_metadata.model, m_metadata.prompt, &m_tried,
+                         m_table->service(m_service)};
+    query.slack = {milliseconds(m_route->targetLatencyMs), timeLeft(),
+                   m_table->isMostUrgent(*m_route, m_service), m_route->priority};
+    query.permittedZones = m_zones ? &*m_zones : nullptr;
+    query.mayRefuse = m_tried.empty() && !m_metadata.resumeAfter;
+    return query;
 }
 
-/// Chooses an upstream, or has it chosen.
+/// Selects an upstream locally, or through the selector if there is one.
 asio::awaitable<PlacementResult> ForwardCall::choose()
 {
-    GatewayState &state = m_shared.state;
-    SelectionQuery ask = makeAsk();
+    GatewayState &state = m_context.state;
+    SelectionQuery query = makeSelectionQuery();
     PlacementResult placed;
-    if (m_shared.selector == nullptr) {
-        placed.selection = state.upstreams().select(ask, state.directory(), RuntimeClock::now());
+    if (m_context.selector == nullptr) {
+        placed.selection = state.upstreams().select(query, state.directory(), RuntimeClock::now());
         co_return placed;
     }
-    placed = co_await m_shared.selector->select(std::move(ask));
+    placed = co_await m_context.selector->select(std::move(query));
     m_placedBy = placed.placedBy;
-    m_placing += placed.duration;
+    m_placementDuration += placed.duration;
     co_return placed;
 }
 
-/// Why no upstream may be sent the call. Entries of the service that take no work for another
-/// reason are of no matter: they are not what the caller waits for.
-ErrorKind ForwardCall::kindWithoutUpstream() const
+/// Returns why no upstream can take the call. Upstreams of the service that take no work for other
+/// reasons are ignored, as waiting for them would not help the caller.
+ErrorKind ForwardCall::unavailableKind() const
 {
-    const UpstreamDirectory &directory = m_shared.state.directory();
+    const UpstreamDirectory &directory = m_context.state.directory();
     if (!directory.usableUpstreams(m_service).empty()) {
-        const SelectionQuery ask = makeAsk();
-        const UpstreamTable &book = m_shared.state.upstreams();
+        const SelectionQuery query = makeSelectionQuery();
+        const UpstreamTable &table = m_context.state.upstreams();
         const Time now = RuntimeClock::now();
-        if (book.isBlockedByBackoff(ask, directory, now))
+        if (table.isBlockedByBackoff(query, directory, now))
             return ErrorKind::UpstreamBackoff;
-        if (book.isBlockedByLimit(ask, directory, now))
+        if (table.isBlockedByLimit(query, directory, now))
             return ErrorKind::UpstreamLimit;
-        const bool isKept = m_zones && !book.hasAlternative(ask, directory, now);
-        return isKept ? ErrorKind::NoUpstreamInRegion : ErrorKind::NoUpstream;
+        const bool isRestricted = m_zones && !table.hasAlternative(query, directory, now);
+        return isRestricted ? ErrorKind::NoUpstreamInRegion : ErrorKind::NoUpstream;
     }
     const bool isEvacuated = std::ranges::any_of(
         directory.entries() | std::views::values, [&](const UpstreamEntry &entry) {
@@ -80,17 +79,19 @@
     return isEvacuated ? ErrorKind::ZonesEvacuated : ErrorKind::NoUpstream;
 }
 
-/// What ends the call when its request is known to end upstreams. One such request ended 39 engines
-/// in 18 s, as each call that it came with was sent to another engine after the first was lost.
-std::optional<ForwardDecision> ForwardCall::quarantined()
+/// Returns the decision that ends a call whose request is in quarantine. Without it, one request
+/// that crashes engines took down 39 of them in 18 s, as each of its calls was retried on another
+/// engine.
+std::optional<ForwardDecision> ForwardCall::checkQuarantine()
 {
     if (!mayBeSuspect())
         return std::nullopt;
-    const auto left = m_shared.state.crashes().remainingQuarantine(digest(), RuntimeClock::now());
-    if (!left)
+    const auto remaining =
+        m_context.state.crashes().remainingQuarantine(digest(), RuntimeClock::now());
+    if (!remaining)
         return std::nullopt;
-    m_comeBack = left;
-    m_lastReason = "upstreams ended under this request, at whatever gateway it came";
+    m_retryAfter = remaining;
+    m_lastReason = "upstreams crashed while running this request, at any of the gateways";
     if (m_headDelivered)
         return ForwardDecision{ForwardStep::Abort, ErrorKind::RequestQuarantined};
     if (m_mayHaveRun)
@@ -98,55 +99,55 @@
     return ForwardDecision{ForwardStep::Refuse, ErrorKind::RequestQuarantined};
 }
 
-/// Chooses an upstream and sends once. Nothing: send again; else what ends the call.
+/// Selects an upstream and sends once. Returns the decision that ends the call; none: send again.
 asio::awaitable<std::optional<ForwardDecision>> ForwardCall::sendOnce()
 {
-    if (const auto decision = quarantined())
+    if (const auto decision = checkQuarantine())
         co_return decision;
-    GatewayState &state = m_shared.state;
+    GatewayState &state = m_context.state;
     const PlacementResult placed = co_await choose();
-    const std::optional<Selection> &choice = placed.selection;
+    const std::optional<Selection> &selection = placed.selection;
     if (placed.retryAfter) {
-        m_comeBack = placed.retryAfter;
-        m_lastReason = "the engines are too far behind";
+        m_retryAfter = placed.retryAfter;
+        m_lastReason = "the engines' queues are too long for the target latency";
         co_return ForwardDecision{ForwardStep::Refuse, ErrorKind::PredictedLate};
     }
-    if (!choice) {
+    if (!selection) {
         m_lastReason = "no upstream of the service takes work";
-        const ErrorKind kind = m_mayHaveRun ? ErrorKind::OutcomeUnknown : kindWithoutUpstream();
+        const ErrorKind kind = m_mayHaveRun ? ErrorKind::OutcomeUnknown : unavailableKind();
         const ForwardStep step = m_mayHaveRun ? ForwardStep::Fail : ForwardStep::Refuse;
         co_return ForwardDecision{m_headDelivered ? ForwardStep::Abort : step, kind};
     }
-    const UpstreamEntry entry = *state.directory().find(choice->upstream);
+    const UpstreamEntry entry = *state.directory().find(selection->upstream);
     m_tried.insert(entry.id);
     m_lastUpstream = entry.id;
-    m_lastCost = choice->cost;
-    m_unread = choice->prefillTokens;
-    m_toRead = choice->prefillTokens;
-    m_ahead = choice->tokensToFirstEvent;
+    m_lastCost = selection->cost;
+    m_pendingPrefillTokens = selection->prefillTokens;
+    m_prefillTokens = selection->prefillTokens;
+    m_tokensToFirstEvent = selection->tokensToFirstEvent;
     m_sentAt = RuntimeClock::now();
-    m_isAwaited = true;
-    m_isBrief = choice->isShortPrompt;
+    m_awaitsFirstEvent = true;
+    m_isShortPrompt = selection->isShortPrompt;
     m_fetchFrom.reset();
-    if (choice->fetchFrom)
-        m_fetchFrom = state.directory().find(*choice->fetchFrom)->address;
-    state.upstreams().sent(entry.id, makeAsk(), *choice, RuntimeClock::now());
-    const SendResult end = co_await exchange(entry);
-    noteEnd(entry, end);
-    if (end == SendResult::Lost && m_stop == Stop::None)
-        noteLost(entry);
-    if (m_stop != Stop::None && end != SendResult::Complete) {
-        const bool notRun = end == SendResult::NotConnected && !m_mayHaveRun;
+    if (selection->fetchFrom)
+        m_fetchFrom = state.directory().find(*selection->fetchFrom)->address;
+    state.upstreams().sent(entry.id, makeSelectionQuery(), *selection, RuntimeClock::now());
+    const SendResult result = co_await exchange(entry);
+    recordResult(entry, result);
+    if (result == SendResult::Lost && m_stop == Stop::None)
+        recordUpstreamLost(entry);
+    if (m_stop != Stop::None && result != SendResult::Complete) {
+        const bool notRun = result == SendResult::NotConnected && !m_mayHaveRun;
         const ForwardStep step = notRun ? ForwardStep::Refuse : ForwardStep::Fail;
-        co_return ForwardDecision{m_headDelivered ? ForwardStep::Abort : step, kindOfStop()};
+        co_return ForwardDecision{m_headDelivered ? ForwardStep::Abort : step, stopKind()};
     }
-    const ForwardDecision decision = nextStep(end, stateNow(end));
+    const ForwardDecision decision = nextStep(result, makeForwardState(result));
     if (decision.step != ForwardStep::Retry)
         co_return decision;
-    m_shared.counters.retried(decision.kind);
+    m_context.counters.retried(decision.kind);
     LogLine(LogLevel::Info, "send-again")
         .with("attempt", m_metadata.attemptId)
-        .with("after", toString(end))
+        .with("after", toString(result))
         .with("upstream", entry.id.text)
         .with("reason", m_lastReason)
         .with("sends", m_sends)
@@ -154,9 +155,9 @@
     co_return std::nullopt;
 }
 
-ForwardState ForwardCall::stateNow(SendResult end)
+ForwardState ForwardCall::makeForwardState(SendResult result)
 {
-    GatewayState &state = m_shared.state;
+    GatewayState &state = m_context.state;
     ForwardState now;
     now.kind = m_route->kind;
     now.resumable = m_route->resumable;
@@ -166,35 +167,35 @@
     now.connectFailures = m_connectFailures;
     now.connectRefusals = m_connectRefusals;
     const Duration needed = std::max<Duration>(
-        milliseconds(m_route->targetLatencyMs) / targetPartForSend, leastTimeForSend);
+        milliseconds(m_route->targetLatencyMs) / targetDivisorForRetry, minTimeForRetry);
     now.timeLeft = timeLeft() > needed;
     now.mayHaveRun = m_mayHaveRun;
-    now.upstreamsLeft =
-        state.upstreams().hasAlternative(makeAsk(), state.directory(), RuntimeClock::now());
+    now.upstreamsLeft = state.upstreams().hasAlternative(makeSelectionQuery(), state.directory(),
+                                                         RuntimeClock::now());
     now.retryLeft = true;
-    if (end == SendResult::NotConnected)
+    if (result == SendResult::NotConnected)
         return now;
-    // Whether the budget has one more is asked only where it alone decides.
-    const bool wanted = nextStep(end, now).step == ForwardStep::Retry;
+    // Takes a retry from the budget only if nothing else rules it out.
+    const bool wanted = nextStep(result, now).step == ForwardStep::Retry;
     now.retryLeft = wanted && state.retries().take(m_service, RuntimeClock::now());
-    if (end != SendResult::RefusedNotRun)
+    if (result != SendResult::RefusedNotRun)
         m_mayHaveRun = true;
     return now;
 }
 
 asio::awaitable<UpstreamChannelPtr> ForwardCall::openChannel(const UpstreamEntry &entry)
 {
-    if (UpstreamChannelPtr idle = m_shared.pool.takeIdle(entry.id))
+    if (UpstreamChannelPtr idle = m_context.pool.takeIdle(entry.id))
         co_return idle;
     const Time began = RuntimeClock::now();
-    const Duration limit = std::min<Duration>(connectLimit, timeLeft());
+    const Duration limit = std::min<Duration>(connectTimeout, timeLeft());
     ConnectFailure failure;
-    UpstreamChannelPtr channel = co_await m_shared.pool.connect(entry, limit, &failure);
-    m_nobodyListened = failure.connectionRefused;
+    UpstreamChannelPtr channel = co_await m_context.pool.connect(entry, limit, &failure);
+    m_isConnectionRefused = failure.connectionRefused;
     if (!channel)
         m_lastReason = failure.reason;
     else
-        m_shared.latencies.recordLatency(LatencyKind::Connect, RuntimeClock::now() - began);
+        m_context.latencies.recordLatency(LatencyKind::Connect, RuntimeClock::now() - began);
     co_return channel;
 }
 
@@ -203,21 +204,21 @@
     m_exchange.reset();
     m_channel = co_await openChannel(entry);
     if (!m_channel || m_stop != Stop::None) {
-        ++(m_nobodyListened ? m_connectRefusals : m_connectFailures);
+        ++(m_isConnectionRefused ? m_connectRefusals : m_connectFailures);
         co_return SendResult::NotConnected;
     }
     if (m_sends == 0)
-        m_shared.state.retries().recordFirstSend(m_service, RuntimeClock::now());
+        m_context.state.retries().recordFirstSend(m_service, RuntimeClock::now());
     ++m_sends;
-    m_shared.counters.add(Counter::Dispatched);
-    m_exchange.emplace(m_channel, m_shared.headerCodec);
+    m_context.counters.add(Counter::Dispatched);
+    m_exchange.emplace(m_channel, m_context.headerCodec);
     const UpstreamCall call = makeCall(entry);
-    bool good = co_await m_exchange->write(call);
-    if (good)
-        good = co_await m_exchange->readHead();
-    if (!good)
-        co_return brokenEnd();
-    co_return co_await takeAnswer();
+    bool isOk = co_await m_exchange->write(call);
+    if (isOk)
+        isOk = co_await m_exchange->readHead();
+    if (!isOk)
+        co_return failureResult();
+    co_return co_await receiveAnswer();
 }
 
 UpstreamCall ForwardCall::makeCall(const UpstreamEntry &entry) const
@@ -238,45 +239,45 @@
     metadata.urgency = m_table->urgencyRank(*m_route, m_account);
     metadata.resumeAfter = m_events.lastId();
     metadata.fetchFrom = m_fetchFrom;
-    m_shared.headerCodec.writeSend(m_request, metadata, &call.fields);
+    m_context.headerCodec.writeSend(m_request, metadata, &call.fields);
     return call;
 }
 
-void ForwardCall::noteEnd(const UpstreamEntry &entry, SendResult end)
+void ForwardCall::recordResult(const UpstreamEntry &entry, SendResult result)
 {
-    UpstreamTable &book = m_shared.state.upstreams();
-    book.ended(entry.id, std::exchange(m_unread, 0), m_isBrief);
+    UpstreamTable &table = m_context.state.upstreams();
+    table.ended(entry.id, std::exchange(m_pendingPrefillTokens, 0), m_isShortPrompt);
     if (m_exchange && m_lastReason.empty())
         m_lastReason = m_exchange->reason();
-    const bool ownStop = m_stop != Stop::None;
-    if (end == SendResult::Complete && m_shared.onRequestCleared && mayBeSuspect()
-        && m_shared.state.crashes().isSuspect(digest()))
-        m_shared.onRequestCleared(digest());
-    if (end == SendResult::Complete && !m_metadata.prompt.empty())
-        book.recordCallDuration(m_service, RuntimeClock::now() - m_sentAt);
-    if (end == SendResult::Complete || end == SendResult::ServerError)
-        book.succeeded(entry.id);
-    else if (std::exchange(m_nobodyListened, false))
-        book.connectionRefused(entry.id, RuntimeClock::now());
-    else if (end != SendResult::RefusedNotRun && !ownStop)
-        book.failed(entry.id, RuntimeClock::now());
-    else if (end == SendResult::RefusedNotRun && m_exchange->metadata().isMisdirected)
-        book.replaced(entry.id);
+    const bool isStoppedHere = m_stop != Stop::None;
+    if (result == SendResult::Complete && m_context.onRequestCleared && mayBeSuspect()
+        && m_context.state.crashes().isSuspect(digest()))
+        m_context.onRequestCleared(digest());
+    if (result == SendResult::Complete && !m_metadata.prompt.empty())
+        table.recordCallDuration(m_service, RuntimeClock::now() - m_sentAt);
+    if (result == SendResult::Complete || result == SendResult::ServerError)
+        table.succeeded(entry.id);
+    else if (std::exchange(m_isConnectionRefused, false))
+        table.connectionRefused(entry.id, RuntimeClock::now());
+    else if (result != SendResult::RefusedNotRun && !isStoppedHere)
+        table.failed(entry.id, RuntimeClock::now());
+    else if (result == SendResult::RefusedNotRun && m_exchange->metadata().isMisdirected)
+        table.replaced(entry.id);
     if (!m_channel)
         return;
-    if (m_exchange && m_exchange->isReusable() && !ownStop) {
+    if (m_exchange && m_exchange->isReusable() && !isStoppedHere) {
         if (const auto limit = m_exchange->keepAliveTimeout())
             m_channel->idleTimeout = *limit;
-        m_shared.pool.giveBack(entry.id, m_channel);
+        m_context.pool.giveBack(entry.id, m_channel);
     } else {
         m_channel->close();
     }
     m_channel.reset();
 }
 
-/// An upstream was lost under the call. The line names the content of the call, so that one that
-/// comes again and again is seen as one.
-void ForwardCall::noteLost(const UpstreamEntry &entry)
+/// Logs that the call lost its upstream. The digest in the log line identifies a request that is
+/// sent again and again.
+void ForwardCall::recordUpstreamLost(const UpstreamEntry &entry)
 {
     LogLine(LogLevel::Info, "upstream-lost-under-call")
         .with("attempt", m_metadata.attemptId)
@@ -284,11 +285,11 @@
         .with("upstream", entry.id.text)
         .with("born", entry.id.startedAt)
         .with("events", m_events.eventCount())
-        .with("ahead", m_ahead)
-        .with("running", m_shared.state.upstreams().load(entry.id, RuntimeClock::now()).running)
+        .with("ahead", m_tokensToFirstEvent)
+        .with("running", m_context.state.upstreams().load(entry.id, RuntimeClock::now()).running)
         .with("ms", static_cast<std::int64_t>(toMillis(RuntimeClock::now() - m_sentAt)));
-    if (m_shared.crashDetector != nullptr)
-        m_shared.crashDetector->connectionLost(entry, digest());
+    if (m_context.crashDetector != nullptr)
+        m_context.crashDetector->connectionLost(entry, digest());
 }
 
 } // namespace reachlead
