--- a/src/peer/crashlink.cpp
+++ b/src/peer/crashlink.cpp
@@ -21,15 +21,15 @@
 std::vector<VmName> selectCollectors(const RequestDigest &request, const std::vector<VmName> &all,
                                      std::size_t n)
 {
-    std::vector<std::pair<std::uint64_t, VmName>> ranked;
-    ranked.reserve(all.size());
-    std::ranges::transform(all, std::back_inserter(ranked), [&](const VmName &vm) {
+    std::vector<std::pair<std::uint64_t, VmName>> scored;
+    scored.reserve(all.size());
+    std::ranges::transform(all, std::back_inserter(scored), [&](const VmName &vm) {
         return std::pair(XXH64(vm.text.data(), vm.text.size(), request.secureHash), vm);
     });
-    std::ranges::sort(ranked);
-    ranked.resize(std::min(n, ranked.size()));
+    std::ranges::sort(scored);
+    scored.resize(std::min(n, scored.size()));
     std::vector<VmName> first;
-    std::ranges::transform(ranked, std::back_inserter(first), [](auto &it) { return it.second; });
+    std::ranges::transform(scored, std::back_inserter(first), [](auto &it) { return it.second; });
     return first;
 }
 
@@ -38,50 +38,50 @@
 {
     m_peers.onDatagram({PeerMessageKind::CrashReport, PeerMessageKind::Quarantine},
                        [this](PeerMessageKind kind, std::string_view message,
-                              const UdpEndpoint & /*from*/) { take(kind, message); });
+                              const UdpEndpoint & /*from*/) { handleDatagram(kind, message); });
     m_peers.onQuarantineChecksum(
-        [this](std::uint64_t mark, const Endpoint &peer) { compareMark(mark, peer); });
+        [this](std::uint64_t checksum, const Endpoint &peer) { compareChecksum(checksum, peer); });
 }
 
 void CrashLink::upstreamCrashed(const RequestDigest &request, const UpstreamId &upstream)
 {
-    const CrashReport word{request, upstreamHash(upstream)};
-    takeWord(word);
-    tellCollectors(word);
+    const CrashReport report{request, upstreamHash(upstream)};
+    applyReport(report);
+    sendToCollectors(report);
 }
 
 void CrashLink::requestCompleted(const RequestDigest &request)
 {
-    const CrashReport word{request, std::nullopt};
-    takeWord(word);
-    tellCollectors(word);
+    const CrashReport report{request, std::nullopt};
+    applyReport(report);
+    sendToCollectors(report);
 }
 
-void CrashLink::tellCollectors(const CrashReport &word)
+void CrashLink::sendToCollectors(const CrashReport &report)
 {
     const std::map<VmName, GatewayEntry> fleet = m_peers.fleet();
     std::vector<VmName> names;
     std::ranges::copy(fleet | std::views::keys, std::back_inserter(names));
-    const std::string payload = pvt::encodePayload(word);
-    for (const VmName &vm : selectCollectors(word.request, names, collectorCount)) {
+    const std::string payload = pvt::encodePayload(report);
+    for (const VmName &vm : selectCollectors(report.request, names, collectorCount)) {
         if (vm != m_state.vm())
             m_peers.sendTo(fleet.at(vm).address, PeerMessageKind::CrashReport, payload);
     }
 }
 
-void CrashLink::takeWord(const CrashReport &word)
+void CrashLink::applyReport(const CrashReport &report)
 {
-    CrashTracker &book = m_state.crashes();
-    if (!word.crashedUpstream) {
-        book.recordCompletion(word.request);
+    CrashTracker &tracker = m_state.crashes();
+    if (!report.crashedUpstream) {
+        tracker.recordCompletion(report.request);
         return;
     }
-    if (book.recordCrash(word.request, *word.crashedUpstream, RuntimeClock::now()))
-        begin(word.request);
+    if (tracker.recordCrash(report.request, *report.crashedUpstream, RuntimeClock::now()))
+        startQuarantine(report.request);
 }
 
-/// Puts a request into quarantine everywhere.
-void CrashLink::begin(const RequestDigest &request)
+/// Starts the quarantine of a request at all gateways.
+void CrashLink::startQuarantine(const RequestDigest &request)
 {
     const auto leftMs = static_cast<std::uint32_t>(toMillis(CrashTracker::quarantineDuration));
     LogLine(LogLevel::Warn, "quarantine-began")
@@ -100,30 +100,30 @@
         m_publish(quarantined);
 }
 
-void CrashLink::takeQuarantine(const std::vector<QuarantinedRequest> &told)
+void CrashLink::mergeQuarantine(const std::vector<QuarantinedRequest> &requests)
 {
-    m_state.learnQuarantine(told, "peer");
+    m_state.learnQuarantine(requests, "peer");
 }
 
-void CrashLink::compareMark(std::uint64_t mark, const Endpoint &peer)
+void CrashLink::compareChecksum(std::uint64_t checksum, const Endpoint &peer)
 {
-    const CrashTracker &book = m_state.crashes();
+    const CrashTracker &tracker = m_state.crashes();
     const Time now = RuntimeClock::now();
-    if (mark == book.checksum(now) || book.isQuarantineEmpty(now))
+    if (checksum == tracker.checksum(now) || tracker.isQuarantineEmpty(now))
         return;
-    m_peers.sendTo(peer, PeerMessageKind::Quarantine, pvt::encodePayload(book.quarantined(now)));
+    m_peers.sendTo(peer, PeerMessageKind::Quarantine, pvt::encodePayload(tracker.quarantined(now)));
 }
 
-void CrashLink::take(PeerMessageKind kind, std::string_view message)
+void CrashLink::handleDatagram(PeerMessageKind kind, std::string_view message)
 {
     std::string reason;
     if (kind == PeerMessageKind::CrashReport) {
-        if (const auto word = pvt::decodePayload<CrashReport>(message, &reason))
-            takeWord(*word);
+        if (const auto report = pvt::decodePayload<CrashReport>(message, &reason))
+            applyReport(*report);
     } else {
-        using Told = std::vector<QuarantinedRequest>;
-        if (const auto told = pvt::decodePayload<Told>(message, &reason))
-            takeQuarantine(*told);
+        using Requests = std::vector<QuarantinedRequest>;
+        if (const auto requests = pvt::decodePayload<Requests>(message, &reason))
+            mergeQuarantine(*requests);
     }
     if (!reason.empty())
         LogLine(LogLevel::Warn, "peer-datagram-refused").with("reason", reason);
--- a/src/peer/crashlink.h
+++ b/src/peer/crashlink.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The gateways' common knowledge of requests that end upstreams.
+/// Exchange of crash reports and quarantined requests between gateways.
 
 #pragma once
 
@@ -21,48 +21,49 @@
 
 namespace reachlead {
 
-/// What a gateway tells of one request to those that count for it.
+/// A gateway's report on one request to the gateways that count its crashes.
 struct CrashReport
 {
     RequestDigest request;
-    std::optional<UpstreamHash> crashedUpstream; ///< this upstream, under it; none: it completed
+    std::optional<UpstreamHash> crashedUpstream; ///< while running it; none: it completed
 
     template <class Archive> void serialize(Archive &ar) { ar(request, crashedUpstream); }
 };
 
-/// Such a request comes to any gateway, so each one may see a single end under it. What is seen
-/// goes to a few gateways that all choose alike for a request, and is counted there; a new
-/// quarantine goes to all gateways at once and to whatever keeps it beyond their lives. Beats carry
-/// a mark of what is in quarantine: where two differ, each tells the other, so that lost datagrams
-/// and gateways that just started are made up for. A gateway that reaches no other counts by
-/// itself. One thread.
+/// A request that crashes upstreams may arrive at any gateway, so each gateway may see only one of
+/// the crashes. Therefore each crash is reported to a few gateways, the collectors, which all
+/// gateways select alike for a request and which count its crashes. A new quarantine is sent to all
+/// gateways at once, and published so that it outlives them. Heartbeats carry a checksum of the
+/// requests in quarantine; where two gateways differ, each sends its list to the other, which makes
+/// up for lost datagrams and brings new gateways up to date. A gateway that reaches no other counts
+/// only its own crashes. Not thread-safe.
 class CrashLink
 {
 public:
-    /// Told of each quarantine that begins here, to keep it beyond the gateways' lives.
+    /// Called for each quarantine that starts here, to store it outside the gateways.
     using Publish = std::function<void(const QuarantinedRequest &)>;
 
     CrashLink(GatewayState &state, GatewayPeers &peers, Counters *counters, Publish publish);
 
-    /// An upstream's process ended under a request of this gateway.
+    /// An upstream's process crashed while it ran a request of this gateway.
     void upstreamCrashed(const RequestDigest &request, const UpstreamId &upstream);
 
-    /// A request of this gateway under which an upstream ended completed at another one.
+    /// A request of this gateway completed although an upstream had crashed while running it.
     void requestCompleted(const RequestDigest &request);
 
-    /// Gateways that count for a request: a datagram may be lost and a gateway may end, so each
-    /// word goes to more than one.
+    /// Number of gateways that count the crashes of a request. More than one, as a datagram may be
+    /// lost and a gateway may exit.
     static constexpr std::size_t collectorCount = 3;
 
 private:
     using UdpEndpoint = boost::asio::ip::udp::endpoint;
 
-    void tellCollectors(const CrashReport &word);
-    void takeWord(const CrashReport &word);
-    void begin(const RequestDigest &request);
-    void takeQuarantine(const std::vector<QuarantinedRequest> &told);
-    void compareMark(std::uint64_t mark, const Endpoint &peer);
-    void take(PeerMessageKind kind, std::string_view message);
+    void sendToCollectors(const CrashReport &report);
+    void applyReport(const CrashReport &report);
+    void startQuarantine(const RequestDigest &request);
+    void mergeQuarantine(const std::vector<QuarantinedRequest> &requests);
+    void compareChecksum(std::uint64_t checksum, const Endpoint &peer);
+    void handleDatagram(PeerMessageKind kind, std::string_view message);
 
     GatewayState &m_state;
     GatewayPeers &m_peers;
@@ -70,7 +71,8 @@
     Publish m_publish;
 };
 
-/// The first \p n of \p all for a request, in an order that all gateways share.
+/// Returns the first \p n of \p all in the rendezvous order of the request, which is the same at
+/// all gateways.
 std::vector<VmName> selectCollectors(const RequestDigest &request, const std::vector<VmName> &all,
                                      std::size_t n);
 
--- a/src/peer/crashlink_test.cpp
+++ b/src/peer/crashlink_test.cpp
@@ -10,16 +10,16 @@
 
 namespace reachlead {
 
-/// What gateways know together of requests that end upstreams.
+/// Gateways that exchange crash reports over real datagrams, on a paused clock.
 class CrashLinkTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashLinkTest);
     CPPUNIT_TEST(endsSeenAtThreeGatewaysAddUp);
     CPPUNIT_TEST(gatewayThatStartsLaterLearnsOfIt);
-    CPPUNIT_TEST(gatewayAloneCountsByItself);
+    CPPUNIT_TEST(singleGatewayQuarantines);
     CPPUNIT_TEST(completedRequestIsClearedEverywhere);
-    CPPUNIT_TEST(strangersWordDoesNotCount);
-    CPPUNIT_TEST(allGatewaysChooseTheSameCollectors);
+    CPPUNIT_TEST(reportWithAnotherKeyIsIgnored);
+    CPPUNIT_TEST(allGatewaysSelectTheSameCollectors);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(1000)};
@@ -44,21 +44,21 @@
 
         static GatewayState::Options stateOptions(const std::string &vm)
         {
-            GatewayState::Options made;
-            made.vm = VmName(vm);
-            return made;
+            GatewayState::Options options;
+            options.vm = VmName(vm);
+            return options;
         }
         static GatewayPeers::Options options(const std::string &vm, const std::string &key,
                                              std::vector<Endpoint> seeds)
         {
-            GatewayPeers::Options made;
-            made.self = {VmName(vm), {"127.0.0.1", 0}};
-            made.seeds = std::move(seeds);
+            GatewayPeers::Options options;
+            options.self = {VmName(vm), {"127.0.0.1", 0}};
+            options.seeds = std::move(seeds);
             std::string reason;
-            made.keys = FleetKeys::parse(key, &reason).value();
-            return made;
+            options.keys = FleetKeys::parse(key, &reason).value();
+            return options;
         }
-        bool refuses(const RequestDigest &it)
+        bool isQuarantined(const RequestDigest &it)
         {
             return state.crashes().remainingQuarantine(it, RuntimeClock::now()).has_value();
         }
@@ -98,7 +98,7 @@
         void advance(Duration d)
         {
             constexpr Duration step = milliseconds(10);
-            for (Duration moved{}; moved < d; moved += step) {
+            for (Duration elapsed{}; elapsed < d; elapsed += step) {
                 RuntimeClock::advance(step);
                 io.restart();
                 io.run_for(std::chrono::milliseconds(2));
@@ -109,7 +109,8 @@
         std::vector<std::unique_ptr<Node>> nodes;
     };
 
-    /// No gateway saw more than one end; the fourth saw none.
+    /// Three gateways see one crash each, which none would quarantine on its own. If their reports
+    /// are not added up, the request goes on crashing upstreams.
     void endsSeenAtThreeGatewaysAddUp()
     {
         Fleet fleet(4);
@@ -120,8 +121,8 @@
         }
         std::size_t published = 0;
         for (const auto &node : fleet.nodes) {
-            CPPUNIT_ASSERT(node->refuses(request("bad")));
-            CPPUNIT_ASSERT(!node->refuses(request("good")));
+            CPPUNIT_ASSERT(node->isQuarantined(request("bad")));
+            CPPUNIT_ASSERT(!node->isQuarantined(request("good")));
             published += node->published.size();
         }
         CPPUNIT_ASSERT(published >= 1);
@@ -132,64 +133,64 @@
         Fleet fleet(2);
         for (const char *upstream : {"u0", "u1", "u2"})
             fleet.nodes[1]->link.upstreamCrashed(request("bad"), UpstreamId(upstream));
-        Node &late = fleet.add("late", fleetKey);
-        CPPUNIT_ASSERT(!late.refuses(request("bad")));
+        Node &newGateway = fleet.add("late", fleetKey);
+        CPPUNIT_ASSERT(!newGateway.isQuarantined(request("bad")));
         fleet.advance(seconds(2));
-        CPPUNIT_ASSERT(late.refuses(request("bad")));
-        CPPUNIT_ASSERT(late.published.empty());
+        CPPUNIT_ASSERT(newGateway.isQuarantined(request("bad")));
+        CPPUNIT_ASSERT(newGateway.published.empty());
     }
 
-    void gatewayAloneCountsByItself()
+    void singleGatewayQuarantines()
     {
         Fleet fleet(1);
         for (const char *upstream : {"u0", "u1", "u2"})
             fleet.nodes[0]->link.upstreamCrashed(request("bad"), UpstreamId(upstream));
-        CPPUNIT_ASSERT(fleet.nodes[0]->refuses(request("bad")));
+        CPPUNIT_ASSERT(fleet.nodes[0]->isQuarantined(request("bad")));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.nodes[0]->published.size());
     }
 
     void completedRequestIsClearedEverywhere()
     {
         Fleet fleet(4);
-        const auto lose = [&](std::size_t node, const char *upstream) {
+        const auto crash = [&](std::size_t node, const char *upstream) {
             fleet.nodes[node]->link.upstreamCrashed(request("beside"), UpstreamId(upstream));
             fleet.advance(milliseconds(30));
         };
-        lose(0, "u0");
-        lose(0, "u1");
+        crash(0, "u0");
+        crash(0, "u1");
         fleet.nodes[0]->link.requestCompleted(request("beside"));
         fleet.advance(milliseconds(30));
-        lose(0, "u2");
-        lose(0, "u3");
+        crash(0, "u2");
+        crash(0, "u3");
         for (const auto &node : fleet.nodes)
-            CPPUNIT_ASSERT(!node->refuses(request("beside")));
+            CPPUNIT_ASSERT(!node->isQuarantined(request("beside")));
     }
 
-    void strangersWordDoesNotCount()
+    void reportWithAnotherKeyIsIgnored()
     {
         Fleet fleet(1);
-        Node &stranger = fleet.add("stranger", "a key of somebody else");
+        Node &other = fleet.add("stranger", "a key of somebody else");
         for (const char *upstream : {"u0", "u1", "u2"})
-            stranger.link.upstreamCrashed(request("good"), UpstreamId(upstream));
+            other.link.upstreamCrashed(request("good"), UpstreamId(upstream));
         fleet.advance(seconds(2));
-        CPPUNIT_ASSERT(stranger.refuses(request("good")));
-        CPPUNIT_ASSERT(!fleet.nodes[0]->refuses(request("good")));
+        CPPUNIT_ASSERT(other.isQuarantined(request("good")));
+        CPPUNIT_ASSERT(!fleet.nodes[0]->isQuarantined(request("good")));
     }
 
-    void allGatewaysChooseTheSameCollectors()
+    void allGatewaysSelectTheSameCollectors()
     {
         constexpr int gateways = 30;
         std::vector<VmName> names;
         names.reserve(gateways);
         for (int n = 0; n < gateways; ++n)
             names.emplace_back("g" + std::to_string(n));
-        const auto chosen = selectCollectors(request("bad"), names, CrashLink::collectorCount);
-        CPPUNIT_ASSERT_EQUAL(CrashLink::collectorCount, chosen.size());
+        const auto selected = selectCollectors(request("bad"), names, CrashLink::collectorCount);
+        CPPUNIT_ASSERT_EQUAL(CrashLink::collectorCount, selected.size());
         std::ranges::reverse(names);
         CPPUNIT_ASSERT(selectCollectors(request("bad"), names, CrashLink::collectorCount)
-                       == chosen);
+                       == selected);
         CPPUNIT_ASSERT(selectCollectors(request("other"), names, CrashLink::collectorCount)
-                       != chosen);
+                       != selected);
         names.resize(2);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, selectCollectors(request("bad"), names, 3).size());
     }
