--- a/src/peer/placementlink.cpp
+++ b/src/peer/placementlink.cpp
@@ -21,10 +21,10 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-/// Between two looks at which gateways there are.
-constexpr Duration fleetAge = milliseconds(250);
+/// Minimum interval between updates of the known gateways.
+constexpr Duration minFleetReadInterval = milliseconds(250);
 
-auto keepError(error_code *ec)
+auto storeError(error_code *ec)
 {
     return asio::redirect_error(asio::use_awaitable, *ec);
 }
@@ -33,13 +33,13 @@
 
 PlacementLink::PlacementLink(asio::io_context &io, const Options &options, GatewayState &state,
                              GatewayPeers &peers)
-    : m_io(io), m_options(options), m_state(state), m_peers(peers), m_asks(state.vm())
+    : m_io(io), m_options(options), m_state(state), m_peers(peers), m_queries(state.vm())
 {
     m_peers.onDatagram({PeerMessageKind::PlacementQuery, PeerMessageKind::PlacementReply,
                         PeerMessageKind::GroupLoad},
                        [this](PeerMessageKind kind, std::string_view message,
-                              const UdpEndpoint &from) { take(kind, message, from); });
-    m_peers.setOldestPendingQuery([this] { return m_asks.oldestPendingQuery(); });
+                              const UdpEndpoint &from) { handleDatagram(kind, message, from); });
+    m_peers.setOldestPendingQuery([this] { return m_queries.oldestPendingQuery(); });
     if (m_options.isEnabled)
         asio::co_spawn(io, reportLoop(), asio::detached);
 }
@@ -50,13 +50,13 @@
         m_options.counters->add(c);
 }
 
-/// Looks again which gateways there are, if that was a while ago.
+/// Updates the known gateways, unless that was done less than minFleetReadInterval ago.
 void PlacementLink::refreshFleet()
 {
     const Time now = RuntimeClock::now();
-    if (m_fleetAt && now < *m_fleetAt + fleetAge)
+    if (m_fleetReadAt && now < *m_fleetReadAt + minFleetReadInterval)
         return;
-    m_fleetAt = now;
+    m_fleetReadAt = now;
     m_fleet = m_peers.fleet();
     m_names.clear();
     std::map<VmName, MilliCores> cores;
@@ -65,25 +65,25 @@
         cores.emplace(vm, entry.cores);
     }
     m_strong = strongGateways(cores);
-    m_owners = m_strong;
-    if (now < m_began + GatewayPeers::peerTimeout)
-        return; // one that was not heard yet may live
-    const std::set<VmName> heard = m_peers.livePeers();
-    std::erase_if(m_owners,
-                  [&](const VmName &vm) { return vm != m_state.vm() && !heard.contains(vm); });
-    if (!m_owners.empty())
+    m_limitOwners = m_strong;
+    if (now < m_startedAt + GatewayPeers::peerTimeout)
+        return; // a gateway without a heartbeat so far may be live
+    const std::set<VmName> live = m_peers.livePeers();
+    std::erase_if(m_limitOwners,
+                  [&](const VmName &vm) { return vm != m_state.vm() && !live.contains(vm); });
+    if (!m_limitOwners.empty())
         return;
-    m_owners = heard;
-    m_owners.insert(m_state.vm());
+    m_limitOwners = live;
+    m_limitOwners.insert(m_state.vm());
 }
 
 VmName PlacementLink::schedulerFor(const GroupName &group)
 {
     refreshFleet();
-    return m_asks.schedulerFor(group, m_strong, m_names, RuntimeClock::now());
+    return m_queries.schedulerFor(group, m_strong, m_names, RuntimeClock::now());
 }
 
-/// Sends to a gateway that is still known; to another it is as if the datagram were lost.
+/// Sends to a gateway if it is still known; otherwise the datagram counts as lost.
 void PlacementLink::sendTo(const VmName &vm, PeerMessageKind kind, const std::string &payload)
 {
     const auto it = m_fleet.find(vm);
@@ -91,206 +91,214 @@
         m_peers.sendTo(it->second.address, kind, payload);
 }
 
-/// True at the first gateway in rank that lives, whether or not it answers now: where two gateways
-/// took a silent one's place, each with most of a limit, an upstream would get nearly twice of it.
-bool PlacementLink::ownsLimitsOf(const GroupName &group)
+/// Returns true at the first live gateway in rendezvous order, even if it does not reply at
+/// present. If two gateways replaced an unresponsive one, each with most of a limit, an upstream
+/// would get nearly twice its limit.
+bool PlacementLink::ownsGroupLimits(const GroupName &group)
 {
     refreshFleet();
-    return electScheduler(group, m_owners) == m_state.vm();
+    return electScheduler(group, m_limitOwners) == m_state.vm();
 }
 
-/// The group that places a call; nothing where this gateway chooses by itself. Plain calls are
-/// placed only while an upstream of their service names a limit, which one gateway gives out.
-std::optional<GroupName> PlacementLink::groupOf(const SelectionQuery &ask)
+/// Returns the group whose scheduler places a call; none if this gateway selects on its own. Unless
+/// configured otherwise, calls without a prompt have one only while an upstream of their service is
+/// limited, as a limit is managed by a single gateway.
+std::optional<GroupName> PlacementLink::schedulingGroup(const SelectionQuery &query)
 {
     const UpstreamDirectory &directory = m_state.directory();
     if (!m_options.isEnabled)
         return std::nullopt;
-    if (!ask.prompt.empty())
-        return m_state.groups().findGroup(ask.service, keyParts(ask.model, ask.prompt), directory);
+    if (!query.prompt.empty())
+        return m_state.groups().findGroup(query.service, keyParts(query.model, query.prompt),
+                                          directory);
     const Time now = RuntimeClock::now();
     if (!m_options.schedulesPlainCalls
-        && !m_state.upstreams().isBlockedByLimit(ask, directory, now))
+        && !m_state.upstreams().isBlockedByLimit(query, directory, now))
         return std::nullopt;
-    const KeyedPart any{m_random(), 0}; // so that the calls spread over the groups
-    return m_state.groups().findGroup(ask.service, std::span(&any, 1), directory);
+    const KeyedPart randomPart{m_random(), 0}; // distributes the calls among the groups
+    return m_state.groups().findGroup(query.service, std::span(&randomPart, 1), directory);
 }
 
-// Asking
+// Queries
 
-asio::awaitable<PlacementResult> PlacementLink::select(SelectionQuery ask)
+asio::awaitable<PlacementResult> PlacementLink::select(SelectionQuery query)
 {
-    const Time began = RuntimeClock::now();
+    const Time startedAt = RuntimeClock::now();
     PlacementResult placed;
-    const std::optional<GroupName> group = groupOf(ask);
+    const std::optional<GroupName> group = schedulingGroup(query);
     if (group) {
         const VmName scheduler = schedulerFor(*group);
-        ask.isGroupScheduler = scheduler == m_state.vm();
-        ask.ownsLimits = ownsLimitsOf(*group);
-        if (ask.prompt.empty() && !m_options.schedulesPlainCalls)
-            ask.mayRefuse = false;
-        if (!ask.isGroupScheduler) {
-            const auto answered = co_await askScheduler(scheduler, *group, ask);
-            count(answered ? Counter::PlacementsAnswered : Counter::PlacementsUnanswered);
-            ask.mayRefuse = false; // what this gateway knows by itself is too little to refuse by
-            if (answered)
-                placed = *answered;
+        query.isGroupScheduler = scheduler == m_state.vm();
+        query.ownsLimits = ownsGroupLimits(*group);
+        if (query.prompt.empty() && !m_options.schedulesPlainCalls)
+            query.mayRefuse = false;
+        if (!query.isGroupScheduler) {
+            const auto reply = co_await queryScheduler(scheduler, *group, query);
+            count(reply ? Counter::PlacementsAnswered : Counter::PlacementsUnanswered);
+            query.mayRefuse = false; // its own knowledge is not enough to refuse a call
+            if (reply)
+                placed = *reply;
         }
     }
     if (!placed.selection && !placed.retryAfter)
-        placed = chooseHere(ask, group);
-    placed.duration = RuntimeClock::now() - began;
+        placed = selectLocally(query, group);
+    placed.duration = RuntimeClock::now() - startedAt;
     co_return placed;
 }
 
-PlacementResult PlacementLink::chooseHere(SelectionQuery ask, const std::optional<GroupName> &group)
+PlacementResult PlacementLink::selectLocally(SelectionQuery query,
+                                             const std::optional<GroupName> &group)
 {
     if (group)
-        ask.group = &m_state.groups().groupMembers(*group, m_state.directory());
+        query.group = &m_state.groups().groupMembers(*group, m_state.directory());
     else
-        ask.mayRefuse = false;
-    return choosePatiently(ask);
+        query.mayRefuse = false;
+    return selectOrRefuse(query);
 }
 
-/// Chooses, or refuses what could not begin in time anywhere.
-PlacementResult PlacementLink::choosePatiently(const SelectionQuery &ask)
+/// Selects an upstream, or refuses a call that could not start in time at any upstream.
+PlacementResult PlacementLink::selectOrRefuse(const SelectionQuery &query)
 {
     PlacementResult placed;
     placed.placedBy = m_state.vm();
-    placed.selection = m_state.upstreams().select(ask, m_state.directory(), RuntimeClock::now());
-    if (!placed.selection || !ask.mayRefuse)
+    placed.selection = m_state.upstreams().select(query, m_state.directory(), RuntimeClock::now());
+    if (!placed.selection || !query.mayRefuse)
         return placed;
     const Time now = RuntimeClock::now();
-    placed.retryAfter = m_options.refusal.decide(ask.slack, placed.selection->minQueueWait);
+    placed.retryAfter = m_options.refusal.decide(query.slack, placed.selection->minQueueWait);
     if (placed.retryAfter)
-        m_refusals.refused(ask.service, ask.slack.urgencyRank, now);
+        m_refusals.refused(query.service, query.slack.urgencyRank, now);
     else if (m_options.refusal.waitTargets > 0)
-        placed.retryAfter = m_refusals.remainingHold(ask.service, ask.slack.urgencyRank, now);
+        placed.retryAfter = m_refusals.remainingHold(query.service, query.slack.urgencyRank, now);
     if (placed.retryAfter)
         placed.selection.reset();
     else
-        m_refusals.placed(ask.service, ask.slack.urgencyRank, now);
+        m_refusals.placed(query.service, query.slack.urgencyRank, now);
     return placed;
 }
 
 asio::awaitable<std::optional<PlacementResult>>
-PlacementLink::askScheduler(VmName scheduler, GroupName group, SelectionQuery ask)
+PlacementLink::queryScheduler(VmName scheduler, GroupName group, SelectionQuery query)
 {
-    const QueryId number = m_asks.open(scheduler);
-    const std::string payload = encodePlacementQuery(makeAsk(number, group, ask));
+    const QueryId id = m_queries.open(scheduler);
+    const std::string payload = encodePlacementQuery(makeQuery(id, group, query));
     sendTo(scheduler, PeerMessageKind::PlacementQuery, payload);
     Waiter waiter(m_io);
     const auto waiters = m_waiters; // may outlive the link
-    waiters->emplace(number, &waiter);
+    waiters->emplace(id, &waiter);
     error_code ec;
     waiter.timer.expires_after(m_options.replyTimeout);
-    co_await waiter.timer.async_wait(keepError(&ec));
-    waiters->erase(number);
+    co_await waiter.timer.async_wait(storeError(&ec));
+    waiters->erase(id);
     PlacementResult placed;
     placed.placedBy = scheduler;
-    if (waiter.answer && waiter.answer->retryAfterMs) {
-        m_asks.conclude(number);
-        placed.retryAfter = milliseconds(*waiter.answer->retryAfterMs);
+    if (waiter.reply && waiter.reply->retryAfterMs) {
+        m_queries.conclude(id);
+        placed.retryAfter = milliseconds(*waiter.reply->retryAfterMs);
         co_return placed;
     }
-    const bool isPlaced = waiter.answer && waiter.answer->placed;
+    const bool isPlaced = waiter.reply && waiter.reply->placed;
     if (!isPlaced) {
-        // A scheduler that has no upstream to name now is the right one to ask next time: others
-        // do not know which cold upstreams had their share.
-        if (waiter.answer && !waiter.answer->isStopping)
-            m_asks.conclude(number);
+        // A scheduler without an available upstream is still queried next time: the others do not
+        // know which cold upstreams have received their share of calls.
+        if (waiter.reply && !waiter.reply->isStopping)
+            m_queries.conclude(id);
         else
-            m_asks.queryFailed(number, RuntimeClock::now());
+            m_queries.queryFailed(id, RuntimeClock::now());
         LogLine(LogLevel::Info, "placement-unanswered")
             .with("scheduler", scheduler.text)
             .with("service", group.service.text)
             .with("group", group.number)
-            .with("declined", waiter.answer.has_value());
+            .with("declined", waiter.reply.has_value());
         co_return std::nullopt;
     }
-    m_asks.conclude(number);
-    placed.selection = readPlaced(*waiter.answer->placed, ask);
+    m_queries.conclude(id);
+    placed.selection = toSelection(*waiter.reply->placed, query);
     if (!placed.selection)
         co_return std::nullopt;
-    // The scheduler counts the call from its answer on, so it need not be told of it.
-    UpstreamLoad &known = m_reported[group].load[placed.selection->upstream];
-    ++known.running;
-    known.prefillTokens += placed.selection->prefillTokens;
-    known.shortPrompts += placed.selection->isShortPrompt ? 1 : 0;
+    // The scheduler has counted the call since its reply, so it needs no report of it.
+    UpstreamLoad &reported = m_lastReports[group].load[placed.selection->upstream];
+    ++reported.running;
+    reported.prefillTokens += placed.selection->prefillTokens;
+    reported.shortPrompts += placed.selection->isShortPrompt ? 1 : 0;
     co_return placed;
 }
 
-/// What the answer names, as this gateway knows it; nothing when it knows better: the upstream
-/// takes no more work, was tried, or is backed off.
-std::optional<Selection> PlacementLink::readPlaced(const PlacedCall &placed,
-                                                   const SelectionQuery &ask) const
+/// Converts the reply by this gateway's own state. None if by that state the upstream is unknown,
+/// takes no more work, has been tried already or is in backoff.
+std::optional<Selection> PlacementLink::toSelection(const PlacedCall &placed,
+                                                    const SelectionQuery &query) const
 {
     const UpstreamDirectory &directory = m_state.directory();
     const UpstreamEntry *entry = directory.findByHash(placed.upstream);
-    if (entry == nullptr || !directory.takesWork(*entry) || entry->service != ask.service)
+    if (entry == nullptr || !directory.takesWork(*entry) || entry->service != query.service)
         return std::nullopt;
     const bool isBackedOff =
         m_state.upstreams().backoffs().isBackedOff(entry->id, RuntimeClock::now());
-    if (isBackedOff || !UpstreamTable::isEligible(ask, *entry))
+    if (isBackedOff || !UpstreamTable::isEligible(query, *entry))
         return std::nullopt;
-    Selection choice;
-    choice.upstream = entry->id;
-    choice.prefillTokens = placed.prefillTokens;
-    choice.cost = placed.costMs;
-    choice.tokensToFirstEvent = placed.tokensToFirstEvent;
-    choice.isPreferred = placed.isPreferred;
-    choice.isShortPrompt = placed.isShortPrompt;
+    Selection selection;
+    selection.upstream = entry->id;
+    selection.prefillTokens = placed.prefillTokens;
+    selection.cost = placed.costMs;
+    selection.tokensToFirstEvent = placed.tokensToFirstEvent;
+    selection.isPreferred = placed.isPreferred;
+    selection.isShortPrompt = placed.isShortPrompt;
     const UpstreamEntry *source =
         placed.fetchFrom ? directory.findByHash(*placed.fetchFrom) : nullptr;
     if (source != nullptr && directory.takesWork(*source)
-        && UpstreamTable::isInRegion(ask, *source))
-        choice.fetchFrom = source->id;
-    return choice;
+        && UpstreamTable::isInRegion(query, *source))
+        selection.fetchFrom = source->id;
+    return selection;
 }
 
-/// Upstreams of the group that asked this gateway to back off.
-std::vector<UpstreamId> PlacementLink::backedOffIn(const GroupName &group)
+/// Returns upstreams of the group that requested a backoff from this gateway.
+std::vector<UpstreamId> PlacementLink::backedOffUpstreams(const GroupName &group)
 {
-    std::vector<UpstreamId> found;
+    std::vector<UpstreamId> upstreams;
     const UpstreamBackoffs &backoffs = m_state.upstreams().backoffs();
     if (backoffs.isEmpty())
-        return found;
+        return upstreams;
     const Time now = RuntimeClock::now();
     const std::set<UpstreamId> &members = m_state.groups().groupMembers(group, m_state.directory());
-    std::ranges::copy_if(members, std::back_inserter(found),
+    std::ranges::copy_if(members, std::back_inserter(upstreams),
                          [&](const UpstreamId &id) { return backoffs.isBackedOff(id, now); });
-    found.resize(std::min(found.size(), maxBackedOffUpstreams));
-    return found;
+    upstreams.resize(std::min(upstreams.size(), maxBackedOffUpstreams));
+    return upstreams;
 }
 
-PlacementQuery PlacementLink::makeAsk(QueryId number, const GroupName &group,
-                                      const SelectionQuery &ask)
+PlacementQuery PlacementLink::makeQuery(QueryId id, const GroupName &group,
+                                        const SelectionQuery &selectionQuery)
 {
     const UpstreamDirectory &directory = m_state.directory();
-    PlacementQuery made;
+    PlacementQuery query;
     const LoadByGroup own = ownLoads();
     const auto it = own.find(group);
-    made.report = makeReport(group, it == own.end() ? LoadByUpstream{} : it->second);
-    made.queryId = number;
-    made.zone = m_state.zone();
-    made.model = ask.model;
-    std::ranges::transform(ask.prompt, std::back_inserter(made.prompt), [](const PromptPart &part) {
-        return CompactPromptPart{part.id, static_cast<std::uint32_t>(part.tokens)};
-    });
-    if (ask.tried != nullptr)
-        std::ranges::transform(*ask.tried, std::back_inserter(made.excluded), upstreamHash);
-    std::ranges::transform(backedOffIn(group), std::back_inserter(made.excluded), upstreamHash);
+    query.report = makeReport(group, it == own.end() ? LoadByUpstream{} : it->second);
+    query.queryId = id;
+    query.zone = m_state.zone();
+    query.model = selectionQuery.model;
+    std::ranges::transform(
+        selectionQuery.prompt, std::back_inserter(query.prompt), [](const PromptPart &part) {
+            return CompactPromptPart{part.id, static_cast<std::uint32_t>(part.tokens)};
+        });
+    if (selectionQuery.tried != nullptr)
+        std::ranges::transform(*selectionQuery.tried, std::back_inserter(query.excluded),
+                               upstreamHash);
+    std::ranges::transform(backedOffUpstreams(group), std::back_inserter(query.excluded),
+                           upstreamHash);
     const auto failing = m_state.upstreams().unhealthyUpstreams(
-        ask.service, directory, RuntimeClock::now(), maxFailingUpstreams);
-    std::ranges::transform(failing, std::back_inserter(made.failing), upstreamHash);
-    made.targetMs = static_cast<std::uint32_t>(toMillis(ask.slack.target));
-    made.timeLeftMs = static_cast<std::uint32_t>(std::max(0.0, toMillis(ask.slack.timeLeft)));
-    made.isMostUrgent = ask.slack.isMostUrgent;
-    made.urgencyRank = static_cast<std::uint8_t>(std::min(ask.slack.urgencyRank, 255U));
-    made.mayRefuse = ask.mayRefuse;
-    if (ask.permittedZones != nullptr)
-        made.permittedZones = *ask.permittedZones;
-    return made;
+        selectionQuery.service, directory, RuntimeClock::now(), maxFailingUpstreams);
+    std::ranges::transform(failing, std::back_inserter(query.failing), upstreamHash);
+    query.targetMs = static_cast<std::uint32_t>(toMillis(selectionQuery.slack.target));
+    query.timeLeftMs =
+        static_cast<std::uint32_t>(std::max(0.0, toMillis(selectionQuery.slack.timeLeft)));
+    query.isMostUrgent = selectionQuery.slack.isMostUrgent;
+    query.urgencyRank = static_cast<std::uint8_t>(std::min(selectionQuery.slack.urgencyRank, 255U));
+    query.mayRefuse = selectionQuery.mayRefuse;
+    if (selectionQuery.permittedZones != nullptr)
+        query.permittedZones = *selectionQuery.permittedZones;
+    return query;
 }
 
 // Reports
@@ -302,14 +310,14 @@
     report.incarnation = m_peers.incarnation();
     report.sequence = m_peers.nextSequence();
     report.group = group;
-    report.oldestPendingQuery = m_asks.oldestPendingQuery();
+    report.oldestPendingQuery = m_queries.oldestPendingQuery();
     report.load = compactLoad(load);
     report.rateSample = m_state.upstreams().takeRateSample(group.service);
     const Time now = RuntimeClock::now();
     report.limits =
         m_peers.limitsToReport(now, &m_state.groups().groupMembers(group, m_state.directory()));
     report.leaving = m_peers.leavingToReport(now, &group.service);
-    m_reported[group] = {load, RuntimeClock::now()};
+    m_lastReports[group] = {load, RuntimeClock::now()};
     return report;
 }
 
@@ -329,7 +337,7 @@
     while (!m_peers.isStopped()) {
         error_code ec;
         timer.expires_after(m_options.reportInterval);
-        co_await timer.async_wait(keepError(&ec));
+        co_await timer.async_wait(storeError(&ec));
         sendReports();
     }
 }
@@ -337,13 +345,13 @@
 void PlacementLink::sendReports()
 {
     LoadByGroup loads = ownLoads();
-    for (const GroupName &group : m_reported | std::views::keys)
-        loads.try_emplace(group); // what has ended is told as well
+    for (const GroupName &group : m_lastReports | std::views::keys)
+        loads.try_emplace(group); // also reports loads that have dropped to zero
     const Time now = RuntimeClock::now();
     for (const auto &[group, load] : loads) {
-        const Reported &told = m_reported[group];
-        const bool isOld = !load.empty() && told.at + refreshInterval <= now;
-        if (told.load == load && !isOld)
+        const LastReport &last = m_lastReports[group];
+        const bool isRefreshDue = !load.empty() && last.at + refreshInterval <= now;
+        if (last.load == load && !isRefreshDue)
             continue;
         const VmName scheduler = schedulerFor(group);
         const GroupLoad report = makeReport(group, load);
@@ -351,36 +359,37 @@
             continue;
         sendTo(scheduler, PeerMessageKind::GroupLoad, encodeGroupLoad(report));
     }
-    std::erase_if(m_reported, [](const auto &it) { return it.second.load.empty(); });
+    std::erase_if(m_lastReports, [](const auto &it) { return it.second.load.empty(); });
 }
 
-// Answering
+// Replies
 
-void PlacementLink::take(PeerMessageKind kind, std::string_view message, const UdpEndpoint &from)
+void PlacementLink::handleDatagram(PeerMessageKind kind, std::string_view message,
+                                   const UdpEndpoint &from)
 {
     std::string reason;
-    bool isGood = false;
+    bool isValid = false;
     if (kind == PeerMessageKind::PlacementQuery) {
-        const auto ask = decodePlacementQuery(message, &reason);
-        isGood = ask.has_value();
-        if (ask)
-            takeAsk(*ask, from);
+        const auto query = decodePlacementQuery(message, &reason);
+        isValid = query.has_value();
+        if (query)
+            handleQuery(*query, from);
     } else if (kind == PeerMessageKind::PlacementReply) {
-        auto answer = decodePlacementReply(message, &reason);
-        isGood = answer.has_value();
-        if (answer)
-            takeAnswer(std::move(*answer));
+        auto reply = decodePlacementReply(message, &reason);
+        isValid = reply.has_value();
+        if (reply)
+            handleReply(std::move(*reply));
     } else if (kind == PeerMessageKind::GroupLoad) {
         const auto report = decodeGroupLoad(message, &reason);
-        isGood = report.has_value();
+        isValid = report.has_value();
         if (report)
-            takeReport(*report);
+            applyReport(*report);
     }
-    if (!isGood)
+    if (!isValid)
         LogLine(LogLevel::Warn, "peer-datagram-refused").with("reason", reason);
 }
 
-void PlacementLink::takeReport(const GroupLoad &report)
+void PlacementLink::applyReport(const GroupLoad &report)
 {
     if (!m_peers.acceptSequence(report.from, report.incarnation, report.sequence))
         return;
@@ -395,77 +404,79 @@
     m_state.learnLeaving(report.leaving, report.from);
 }
 
-void PlacementLink::takeAsk(const PlacementQuery &ask, const UdpEndpoint &from)
+void PlacementLink::handleQuery(const PlacementQuery &query, const UdpEndpoint &from)
 {
-    takeReport(ask.report);
-    PlacementReply answer;
-    answer.from = m_state.vm();
-    answer.querier = ask.report.incarnation;
-    answer.queryId = ask.queryId;
+    applyReport(query.report);
+    PlacementReply reply;
+    reply.from = m_state.vm();
+    reply.querier = query.report.incarnation;
+    reply.queryId = query.queryId;
     const UpstreamDirectory &directory = m_state.directory();
-    const GroupName &group = ask.report.group;
+    const GroupName &group = query.report.group;
     std::vector<PromptPart> prompt;
     std::ranges::transform(
-        ask.prompt, std::back_inserter(prompt),
+        query.prompt, std::back_inserter(prompt),
         [](const CompactPromptPart &part) { return PromptPart{part.id, part.tokens}; });
     const Time now = RuntimeClock::now();
-    std::set<UpstreamId> avoided;
-    for (const UpstreamHash tag : ask.excluded) {
-        if (const UpstreamEntry *entry = directory.findByHash(tag))
-            avoided.insert(entry->id);
+    std::set<UpstreamId> excluded;
+    for (const UpstreamHash hash : query.excluded) {
+        if (const UpstreamEntry *entry = directory.findByHash(hash))
+            excluded.insert(entry->id);
     }
-    for (const UpstreamHash tag : ask.failing) {
-        const UpstreamEntry *entry = directory.findByHash(tag);
+    for (const UpstreamHash hash : query.failing) {
+        const UpstreamEntry *entry = directory.findByHash(hash);
         if (entry == nullptr)
             continue;
-        avoided.insert(entry->id);
-        m_state.upstreams().reportedFailing(entry->id, ask.report.from, now);
+        excluded.insert(entry->id);
+        m_state.upstreams().reportedFailing(entry->id, query.report.from, now);
     }
-    SelectionQuery wanted{group.service, ask.model, prompt, &avoided};
-    wanted.serviceInfo = m_state.table() ? m_state.table()->service(group.service) : nullptr;
-    wanted.zone = &ask.zone;
-    wanted.group = &m_state.groups().groupMembers(group, directory);
-    wanted.slack = {milliseconds(ask.targetMs), milliseconds(ask.timeLeftMs), ask.isMostUrgent,
-                    ask.urgencyRank};
-    wanted.mayRefuse = ask.mayRefuse;
-    wanted.permittedZones = ask.permittedZones ? &*ask.permittedZones : nullptr;
-    wanted.isLocal = false;
-    wanted.isGroupScheduler = true;
-    wanted.ownsLimits = ownsLimitsOf(group);
-    PlacementResult chosen;
-    answer.isStopping = m_stopping;
+    SelectionQuery selectionQuery{group.service, query.model, prompt, &excluded};
+    selectionQuery.serviceInfo =
+        m_state.table() ? m_state.table()->service(group.service) : nullptr;
+    selectionQuery.zone = &query.zone;
+    selectionQuery.group = &m_state.groups().groupMembers(group, directory);
+    selectionQuery.slack = {milliseconds(query.targetMs), milliseconds(query.timeLeftMs),
+                            query.isMostUrgent, query.urgencyRank};
+    selectionQuery.mayRefuse = query.mayRefuse;
+    selectionQuery.permittedZones = query.permittedZones ? &*query.permittedZones : nullptr;
+    selectionQuery.isLocal = false;
+    selectionQuery.isGroupScheduler = true;
+    selectionQuery.ownsLimits = ownsGroupLimits(group);
+    PlacementResult result;
+    reply.isStopping = m_stopping;
     if (!m_stopping)
-        chosen = choosePatiently(wanted);
-    const std::optional<Selection> &choice = chosen.selection;
-    if (chosen.retryAfter)
-        answer.retryAfterMs = static_cast<std::uint32_t>(toMillis(*chosen.retryAfter));
-    if (choice) {
-        m_state.upstreams().addPendingPlacement(ask.report.from, ask.queryId, wanted, *choice, now);
+        result = selectOrRefuse(selectionQuery);
+    const std::optional<Selection> &selection = result.selection;
+    if (result.retryAfter)
+        reply.retryAfterMs = static_cast<std::uint32_t>(toMillis(*result.retryAfter));
+    if (selection) {
+        m_state.upstreams().addPendingPlacement(query.report.from, query.queryId, selectionQuery,
+                                                *selection, now);
         PlacedCall placed;
-        placed.upstream = upstreamHash(choice->upstream);
-        placed.prefillTokens = static_cast<std::uint32_t>(choice->prefillTokens);
-        placed.costMs = static_cast<std::int32_t>(choice->cost);
-        placed.tokensToFirstEvent = static_cast<std::uint32_t>(choice->tokensToFirstEvent);
-        placed.isPreferred = choice->isPreferred;
-        placed.isShortPrompt = choice->isShortPrompt;
-        if (choice->fetchFrom)
-            placed.fetchFrom = upstreamHash(*choice->fetchFrom);
-        answer.placed = placed;
+        placed.upstream = upstreamHash(selection->upstream);
+        placed.prefillTokens = static_cast<std::uint32_t>(selection->prefillTokens);
+        placed.costMs = static_cast<std::int32_t>(selection->cost);
+        placed.tokensToFirstEvent = static_cast<std::uint32_t>(selection->tokensToFirstEvent);
+        placed.isPreferred = selection->isPreferred;
+        placed.isShortPrompt = selection->isShortPrompt;
+        if (selection->fetchFrom)
+            placed.fetchFrom = upstreamHash(*selection->fetchFrom);
+        reply.placed = placed;
     }
-    count(choice ? Counter::PlacementsGiven : Counter::PlacementsDeclined);
-    m_peers.sendTo(from, PeerMessageKind::PlacementReply, encodePlacementReply(answer));
+    count(selection ? Counter::PlacementsGiven : Counter::PlacementsDeclined);
+    m_peers.sendTo(from, PeerMessageKind::PlacementReply, encodePlacementReply(reply));
 }
 
-void PlacementLink::takeAnswer(PlacementReply answer)
+void PlacementLink::handleReply(PlacementReply reply)
 {
-    if (answer.querier != m_peers.incarnation())
+    if (reply.querier != m_peers.incarnation())
         return;
-    if (!m_asks.replyReceived(answer.queryId, answer.from))
+    if (!m_queries.replyReceived(reply.queryId, reply.from))
         return;
-    const auto it = m_waiters->find(answer.queryId);
+    const auto it = m_waiters->find(reply.queryId);
     if (it == m_waiters->end())
         return;
-    it->second->answer = std::move(answer);
+    it->second->reply = std::move(reply);
     it->second->timer.cancel();
 }
 
--- a/src/peer/placementlink.h
+++ b/src/peer/placementlink.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Placement of calls by one gateway for each group of upstreams: its questions, answers and
-/// reports of load.
+/// Placement of calls by one gateway for each group of upstreams: queries, replies and load
+/// reports.
 
 #pragma once
 
@@ -26,56 +26,56 @@
 
 namespace reachlead {
 
-/// Asks the scheduler of a call's group where to place it, answers such questions of others, and
-/// tells schedulers what this gateway's calls cause. Without an answer in time the gateway decides
-/// by what it knows itself. One thread.
+/// Queries the scheduler of a call's group for an upstream, replies to such queries of other
+/// gateways, and reports the load of this gateway's calls to the schedulers. Without a reply in
+/// time the gateway selects by its own knowledge. Not thread-safe.
 class PlacementLink : public UpstreamSelector
 {
 public:
     struct Options
     {
-        bool isEnabled = true; ///< off: each gateway places its calls by itself
-        bool schedulesPlainCalls = false; ///< also calls without a prompt
-        /// Longest wait for an answer: some round trips between zones (1 to 3 ms each) and the turn
-        /// of a busy process on a tenth of a core; well below the least target of a first event
-        /// (600 ms).
+        bool isEnabled = true; ///< if false, each gateway places its own calls
+        bool schedulesPlainCalls = false; ///< also schedule calls without a prompt
+        /// Time limit for a reply. Covers a few round trips between availability zones (1 to 3 ms
+        /// each) and the scheduling delay of a busy process on a tenth of a core, and is well below
+        /// the lowest target for a first event (600 ms).
         Duration replyTimeout = milliseconds(60);
-        /// Between looks whether a scheduler is to be told of a changed load: a prompt takes
-        /// longer than this to be read, so little changes in between.
+        /// Interval of checks whether a changed load must be reported. The prefill of a prompt
+        /// takes longer, so little changes in between.
         Duration reportInterval = milliseconds(100);
-        EarlyRefusal refusal; ///< of calls whose engines are too far behind
-        /// From the refusal of a call until less urgent ones are placed again.
+        EarlyRefusal refusal; ///< of calls whose engines' queues are too long
+        /// Time after the refusal of a call during which less urgent calls are refused too.
         Duration lessUrgentHold = RefusalOrder::defaultHold;
-        Counters *counters = nullptr; ///< must outlive the link; null: nothing is counted
+        Counters *counters = nullptr; ///< must outlive the link; may be null
     };
 
-    /// An unchanged load is told again after this long, as reports may be lost; a load counts for
-    /// UpstreamTable::peerLoadLifetime.
+    /// Interval at which an unchanged load is reported again, as reports may be lost. A reported
+    /// load expires after UpstreamTable::peerLoadLifetime.
     static constexpr Duration refreshInterval = seconds(1);
 
     PlacementLink(boost::asio::io_context &io, const Options &options, GatewayState &state,
                   GatewayPeers &peers);
 
-    boost::asio::awaitable<PlacementResult> select(SelectionQuery ask) override;
+    boost::asio::awaitable<PlacementResult> select(SelectionQuery query) override;
 
-    /// Declines questions from now on, as the process is about to end.
+    /// Declines queries from now on, as the process is about to exit.
     void beginStop() { m_stopping = true; }
 
 private:
     using UdpEndpoint = boost::asio::ip::udp::endpoint;
 
-    /// A call that waits for an answer. Lives on the call's frame.
+    /// A call that waits for a reply. Lives in the call's coroutine frame.
     struct Waiter
     {
         explicit Waiter(boost::asio::io_context &io) : timer(io) { }
 
         Timer timer;
-        std::optional<PlacementReply> answer;
+        std::optional<PlacementReply> reply;
     };
     using Waiters = std::map<QueryId, Waiter *>;
 
-    /// What a scheduler was last told, or believes by its own answers.
-    struct Reported
+    /// The load last reported to a scheduler, plus the calls that it has placed since then.
+    struct LastReport
     {
         LoadByUpstream load;
         Time at{};
@@ -84,40 +84,42 @@
 
     boost::asio::awaitable<void> reportLoop();
     boost::asio::awaitable<std::optional<PlacementResult>>
-    askScheduler(VmName scheduler, GroupName group, SelectionQuery ask);
-    PlacementResult chooseHere(SelectionQuery ask, const std::optional<GroupName> &group);
-    PlacementResult choosePatiently(const SelectionQuery &ask);
-    std::optional<Selection> readPlaced(const PlacedCall &placed, const SelectionQuery &ask) const;
-    std::vector<UpstreamId> backedOffIn(const GroupName &group);
-    PlacementQuery makeAsk(QueryId number, const GroupName &group, const SelectionQuery &ask);
+    queryScheduler(VmName scheduler, GroupName group, SelectionQuery query);
+    PlacementResult selectLocally(SelectionQuery query, const std::optional<GroupName> &group);
+    PlacementResult selectOrRefuse(const SelectionQuery &query);
+    std::optional<Selection> toSelection(const PlacedCall &placed,
+                                         const SelectionQuery &query) const;
+    std::vector<UpstreamId> backedOffUpstreams(const GroupName &group);
+    PlacementQuery makeQuery(QueryId id, const GroupName &group,
+                             const SelectionQuery &selectionQuery);
     GroupLoad makeReport(const GroupName &group, const LoadByUpstream &load);
     LoadByGroup ownLoads();
     void sendReports();
-    void take(PeerMessageKind kind, std::string_view message, const UdpEndpoint &from);
-    void takeAsk(const PlacementQuery &ask, const UdpEndpoint &from);
-    void takeAnswer(PlacementReply answer);
-    void takeReport(const GroupLoad &report);
+    void handleDatagram(PeerMessageKind kind, std::string_view message, const UdpEndpoint &from);
+    void handleQuery(const PlacementQuery &query, const UdpEndpoint &from);
+    void handleReply(PlacementReply reply);
+    void applyReport(const GroupLoad &report);
     void refreshFleet();
     void sendTo(const VmName &vm, PeerMessageKind kind, const std::string &payload);
     VmName schedulerFor(const GroupName &group);
-    bool ownsLimitsOf(const GroupName &group);
-    std::optional<GroupName> groupOf(const SelectionQuery &ask);
+    bool ownsGroupLimits(const GroupName &group);
+    std::optional<GroupName> schedulingGroup(const SelectionQuery &query);
     void count(Counter c);
 
     boost::asio::io_context &m_io;
     Options m_options;
     GatewayState &m_state;
     GatewayPeers &m_peers;
-    PendingQueries m_asks;
+    PendingQueries m_queries;
     std::shared_ptr<Waiters> m_waiters = std::make_shared<Waiters>();
-    std::map<GroupName, Reported> m_reported;
-    std::map<VmName, GatewayEntry> m_fleet; ///< as of m_fleetAt
-    std::set<VmName> m_names; ///< of the same
-    std::set<VmName> m_strong; ///< of these, those that place for the others
-    std::set<VmName> m_owners; ///< of these, those that live; all that live, if none does
-    const Time m_began = RuntimeClock::now();
+    std::map<GroupName, LastReport> m_lastReports;
+    std::map<VmName, GatewayEntry> m_fleet; ///< as of m_fleetReadAt
+    std::set<VmName> m_names; ///< of the gateways in m_fleet
+    std::set<VmName> m_strong; ///< of these, the ones that act as schedulers
+    std::set<VmName> m_limitOwners; ///< of these, the live ones; if none is live, all live gateways
+    const Time m_startedAt = RuntimeClock::now();
     RefusalOrder m_refusals{m_options.lessUrgentHold};
-    std::optional<Time> m_fleetAt;
+    std::optional<Time> m_fleetReadAt;
     std::mt19937_64 m_random{std::random_device{}()};
     bool m_stopping = false;
 };
--- a/src/peer/placementlink_notices_test.cpp
+++ b/src/peer/placementlink_notices_test.cpp
@@ -7,13 +7,13 @@
 
 namespace reachlead {
 
-/// What upstreams say of themselves in answers to one gateway, and another one places calls.
+/// Notices of upstreams that only one gateway receives, while another gateway places the calls.
 class PlacementNoticesTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlacementNoticesTest);
-    CPPUNIT_TEST(schedulerKeepsALimitThatItsAskerHeard);
+    CPPUNIT_TEST(schedulerKeepsALimitReceivedByTheQuerier);
     CPPUNIT_TEST(plainCallsArePlacedWhileAnUpstreamIsLimited);
-    CPPUNIT_TEST(limitsOfALostSchedulerAreGivenOutByTheNext);
+    CPPUNIT_TEST(limitsOfALostSchedulerPassToTheNext);
     CPPUNIT_TEST(schedulerHearsOfAnUpstreamThatLeaves);
     CPPUNIT_TEST(backoffIsBetweenOneUpstreamAndOneGateway);
     CPPUNIT_TEST_SUITE_END();
@@ -21,7 +21,7 @@
     using Pair = PlacementPair;
     static constexpr unsigned upstreamCount = Pair::upstreamCount;
 
-    /// Each engine named a limit in an answer to the asker alone.
+    /// Each engine has announced a limit in an answer to the querying gateway only.
     static void limitAll(const Pair &pair, CallRate rate)
     {
         for (const UpstreamEntry &entry : Pair::upstreams(upstreamCount))
@@ -29,7 +29,7 @@
                 entry.id, rate, RuntimeClock::now(), vmTimeOfDay());
     }
 
-    void schedulerKeepsALimitThatItsAskerHeard()
+    void schedulerKeepsALimitReceivedByTheQuerier()
     {
         Pair pair;
         limitAll(pair, CallRate{1000});
@@ -37,8 +37,8 @@
             pair.query();
             pair.advance(milliseconds(10));
         }
-        const std::uint64_t given = pair.scheduler->counters.value(Counter::PlacementsGiven);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{upstreamCount}, given);
+        const std::uint64_t placements = pair.scheduler->counters.value(Counter::PlacementsGiven);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{upstreamCount}, placements);
     }
 
     void plainCallsArePlacedWhileAnUpstreamIsLimited()
@@ -55,28 +55,30 @@
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
     }
 
-    /// Only the asker got an answer that said so.
+    /// Only the querying gateway receives the notice that the upstream leaves. If the scheduler did
+    /// not learn of it, it would go on placing calls there.
     void schedulerHearsOfAnUpstreamThatLeaves()
     {
         Pair pair;
         pair.query();
         pair.advance(milliseconds(10));
-        UpstreamNotice leaving;
-        leaving.isLeaving = true;
-        const UpstreamId leaver = pair.placed->selection->upstream;
-        pair.querier->state.applyNotice(leaver, leaving);
+        UpstreamNotice notice;
+        notice.isLeaving = true;
+        const UpstreamId leavingId = pair.placed->selection->upstream;
+        pair.querier->state.applyNotice(leavingId, notice);
         for (int n = 0; n < 5; ++n) {
             pair.query();
             pair.advance(milliseconds(10));
             CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
-            CPPUNIT_ASSERT(pair.placed->selection->upstream != leaver);
+            CPPUNIT_ASSERT(pair.placed->selection->upstream != leavingId);
             CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
         }
         const UpstreamDirectory &known = pair.scheduler->state.directory();
-        CPPUNIT_ASSERT(!known.takesWork(*known.find(leaver)));
+        CPPUNIT_ASSERT(!known.takesWork(*known.find(leavingId)));
     }
 
-    /// Two engines asked the asker to back off, the third one asked the scheduler.
+    /// Two engines requested a backoff from the querying gateway, the third one from the scheduler.
+    /// A backoff must not keep other gateways from the upstream.
     void backoffIsBetweenOneUpstreamAndOneGateway()
     {
         Pair pair;
@@ -98,28 +100,30 @@
         CPPUNIT_ASSERT(pair.placed && !pair.placed->selection);
     }
 
-    /// The list of gateways names the lost one still, as the platform's store is away.
-    void limitsOfALostSchedulerAreGivenOutByTheNext()
+    /// The list of gateways still has the lost scheduler, as the platform's store is unavailable.
+    /// The next gateway must take over its limits, or the upstreams get too few calls.
+    void limitsOfALostSchedulerPassToTheNext()
     {
         Pair pair;
         pair.prompt = {{1, 100}, {2, 50}};
-        pair.advance(seconds(2)); // they hear each other
+        pair.advance(seconds(2)); // they exchange heartbeats
         pair.scheduler->peers.stop();
         limitAll(pair, CallRate{1000});
-        const auto placedIn = [&](Duration span) {
+        const auto placedIn = [&](Duration duration) {
             unsigned placed = 0;
-            for (Duration done{}; done < span; done += milliseconds(100)) {
+            for (Duration elapsed{}; elapsed < duration; elapsed += milliseconds(100)) {
                 pair.query();
                 pair.advance(milliseconds(100));
                 placed += pair.placed && pair.placed->selection ? 1U : 0U;
             }
             return placed;
         };
-        const unsigned unsure = placedIn(seconds(4)); // it may be another one's part still
-        CPPUNIT_ASSERT(unsure <= upstreamCount * 2);
+        const unsigned beforeTimeout =
+            placedIn(seconds(4)); // another gateway may still own the limit
+        CPPUNIT_ASSERT(beforeTimeout <= upstreamCount * 2);
         pair.advance(GatewayPeers::peerTimeout);
-        const unsigned sure = placedIn(seconds(4));
-        CPPUNIT_ASSERT(sure >= 8 && sure <= upstreamCount * 4);
+        const unsigned afterTimeout = placedIn(seconds(4));
+        CPPUNIT_ASSERT(afterTimeout >= 8 && afterTimeout <= upstreamCount * 4);
     }
 };
 
--- a/src/peer/placementlink_test.cpp
+++ b/src/peer/placementlink_test.cpp
@@ -9,23 +9,23 @@
 
 namespace reachlead {
 
-/// Gateways that place for each other over real datagrams, on a paused clock.
+/// Gateways that place each other's calls over real datagrams, on a paused clock.
 class PlacementLinkTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlacementLinkTest);
-    CPPUNIT_TEST(messagesComeBackAsTheyWere);
-    CPPUNIT_TEST(hostileBytesAreRefused);
+    CPPUNIT_TEST(messagesSurviveARoundTrip);
+    CPPUNIT_TEST(malformedBytesAreRefused);
     CPPUNIT_TEST(schedulerPlacesAndCountsTheCall);
-    CPPUNIT_TEST(schedulerHearsOfTheEnd);
-    CPPUNIT_TEST(goneSchedulerCostsOneWait);
+    CPPUNIT_TEST(completionIsReportedToScheduler);
+    CPPUNIT_TEST(stoppedSchedulerCostsOneTimeout);
     CPPUNIT_TEST(stoppingSchedulerDeclinesAtOnce);
     CPPUNIT_TEST(schedulerWithoutAChoiceIsAskedAgain);
-    CPPUNIT_TEST(lateAnswerIsNotTaken);
+    CPPUNIT_TEST(lateReplyIsIgnored);
     CPPUNIT_TEST(upstreamThatLeftHereIsNotTaken);
-    CPPUNIT_TEST(strangerPlacesNothing);
+    CPPUNIT_TEST(gatewayWithAnotherKeyPlacesNothing);
     CPPUNIT_TEST(callThatCannotBeginInTimeIsRefused);
     CPPUNIT_TEST(withoutItsSchedulerNothingIsRefused);
-    CPPUNIT_TEST(schedulerLearnsThePace);
+    CPPUNIT_TEST(rateSamplesReachTheScheduler);
     CPPUNIT_TEST_SUITE_END();
 
     using Pair = PlacementPair;
@@ -34,42 +34,43 @@
 
     static std::vector<UpstreamEntry> upstreams(unsigned n) { return Pair::upstreams(n); }
 
-    void messagesComeBackAsTheyWere()
+    void messagesSurviveARoundTrip()
     {
-        PlacementQuery ask;
-        ask.report = {VmName("vm"),
-                      Incarnation{7},
-                      9,
-                      {ServiceName("s"), 3},
-                      11,
-                      {{1, 2, 3, 4}},
-                      {8'000, 300, 2, 900},
-                      {{5, CallRate{2200}, 7}},
-                      {UpstreamId("u", 9)}};
-        ask.queryId = 5;
-        ask.zone = ZoneName("z");
-        ask.model = "m";
-        ask.prompt = {{17, 400}, {18, 13'000}};
-        ask.excluded = {77};
-        ask.failing = {78, 79};
+        PlacementQuery query;
+        query.report = {VmName("vm"),
+                        Incarnation{7},
+                        9,
+                        {ServiceName("s"), 3},
+                        11,
+                        {{1, 2, 3, 4}},
+                        {8'000, 300, 2, 900},
+                        {{5, CallRate{2200}, 7}},
+                        {UpstreamId("u", 9)}};
+        query.queryId = 5;
+        query.zone = ZoneName("z");
+        query.model = "m";
+        query.prompt = {{17, 400}, {18, 13'000}};
+        query.excluded = {77};
+        query.failing = {78, 79};
         std::string reason;
-        const auto back = decodePlacementQuery(encodePlacementQuery(ask), &reason);
-        CPPUNIT_ASSERT(back.has_value());
-        CPPUNIT_ASSERT_EQUAL(encodePlacementQuery(ask), encodePlacementQuery(*back));
-        CPPUNIT_ASSERT(back->report.group == ask.report.group);
-        CPPUNIT_ASSERT_EQUAL(QueryId{11}, back->report.oldestPendingQuery);
-        CPPUNIT_ASSERT_EQUAL(UnixMillis{7}, back->report.limits.at(0).timestamp);
-        CPPUNIT_ASSERT(back->report.leaving.at(0) == UpstreamId("u", 9));
-        ask.report.limits.clear(); // most of the time no limit is in force, and none leaves
-        ask.report.leaving.clear();
-        PlacementReply answer{VmName("vm"), Incarnation{7}, 5,
-                              PlacedCall{1, 2, 3, 9, true, false, 4}, 5};
-        const auto told = decodePlacementReply(encodePlacementReply(answer), &reason);
-        CPPUNIT_ASSERT(told && told->placed && told->placed->fetchFrom == 4U);
-        CPPUNIT_ASSERT(encodePlacementQuery(ask).size() < 160);
+        const auto decoded = decodePlacementQuery(encodePlacementQuery(query), &reason);
+        CPPUNIT_ASSERT(decoded.has_value());
+        CPPUNIT_ASSERT_EQUAL(encodePlacementQuery(query), encodePlacementQuery(*decoded));
+        CPPUNIT_ASSERT(decoded->report.group == query.report.group);
+        CPPUNIT_ASSERT_EQUAL(QueryId{11}, decoded->report.oldestPendingQuery);
+        CPPUNIT_ASSERT_EQUAL(UnixMillis{7}, decoded->report.limits.at(0).timestamp);
+        CPPUNIT_ASSERT(decoded->report.leaving.at(0) == UpstreamId("u", 9));
+        query.report.limits.clear(); // usually there is no limit in force and no leaving upstream
+        query.report.leaving.clear();
+        PlacementReply reply{VmName("vm"), Incarnation{7}, 5,
+                             PlacedCall{1, 2, 3, 9, true, false, 4}, 5};
+        const auto decodedReply = decodePlacementReply(encodePlacementReply(reply), &reason);
+        CPPUNIT_ASSERT(decodedReply && decodedReply->placed
+                       && decodedReply->placed->fetchFrom == 4U);
+        CPPUNIT_ASSERT(encodePlacementQuery(query).size() < 160);
     }
 
-    void hostileBytesAreRefused()
+    void malformedBytesAreRefused()
     {
         std::string reason;
         const std::string good = encodePlacementQuery(PlacementQuery());
@@ -89,23 +90,23 @@
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
         const UpstreamId at = pair.placed->selection->upstream;
         CPPUNIT_ASSERT_EQUAL(1U, pair.scheduler->running(at));
-        pair.advance(seconds(3)); // its own word of the load takes the place of the grant
+        pair.advance(seconds(3)); // the reported load replaces the pending placement
         CPPUNIT_ASSERT_EQUAL(1U, pair.scheduler->running(at));
     }
 
-    void schedulerHearsOfTheEnd()
+    void completionIsReportedToScheduler()
     {
         Pair pair;
         pair.query();
         pair.advance(milliseconds(10));
-        const Selection choice = pair.placed->selection.value();
-        pair.querier->state.upstreams().ended(choice.upstream, choice.prefillTokens,
-                                              choice.isShortPrompt);
+        const Selection selection = pair.placed->selection.value();
+        pair.querier->state.upstreams().ended(selection.upstream, selection.prefillTokens,
+                                              selection.isShortPrompt);
         pair.advance(milliseconds(150));
-        CPPUNIT_ASSERT_EQUAL(0U, pair.scheduler->running(choice.upstream));
+        CPPUNIT_ASSERT_EQUAL(0U, pair.scheduler->running(selection.upstream));
     }
 
-    void goneSchedulerCostsOneWait()
+    void stoppedSchedulerCostsOneTimeout()
     {
         Pair pair;
         pair.scheduler->peers.stop();
@@ -115,7 +116,7 @@
         pair.advance(milliseconds(40));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.querier->state.vm());
-        pair.query(); // it places by itself for a while
+        pair.query(); // does not query the unresponsive scheduler for a while
         pair.advance(milliseconds(5));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
@@ -134,8 +135,9 @@
                              pair.scheduler->counters.value(Counter::PlacementsDeclined));
     }
 
-    /// All upstreams are cold and had their share. Were the scheduler passed over for that, the
-    /// next one would not know of the calls that it placed, and feed them anew.
+    /// All upstreams are cold and have received their share of calls. If the scheduler were skipped
+    /// because it declines, the next one would not know of the calls already placed and would give
+    /// the cold upstreams a second share.
     void schedulerWithoutAChoiceIsAskedAgain()
     {
         Pair pair;
@@ -158,7 +160,7 @@
             pair.query();
             pair.advance(milliseconds(10));
         }
-        pair.advance(milliseconds(50)); // the last question is read, also on a busy machine
+        pair.advance(milliseconds(50)); // lets the last query arrive, even on a busy machine
         const Counters &counters = pair.scheduler->counters;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{upstreamCount},
                              counters.value(Counter::PlacementsGiven));
@@ -171,12 +173,12 @@
         CPPUNIT_ASSERT(pair.placed->placedBy == pair.scheduler->state.vm());
     }
 
-    /// An answer that was held up until its call had gone elsewhere leaves no load behind.
-    void lateAnswerIsNotTaken()
+    /// A reply that arrives after its call was placed elsewhere must not leave a load behind.
+    void lateReplyIsIgnored()
     {
         Pair pair;
         pair.query();
-        // The datagram waits unread while the clock passes the limit.
+        // The datagram is not read before the time limit for the reply has passed.
         RuntimeClock::advance(milliseconds(70));
         pair.advance(milliseconds(200));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
@@ -189,20 +191,21 @@
     void upstreamThatLeftHereIsNotTaken()
     {
         Pair pair;
-        // The asker knows a later registry, without the upstream that the scheduler will name.
+        // The querying gateway has a later registry, without the upstream that the scheduler
+        // selects.
         pair.query();
         pair.advance(milliseconds(10));
-        const UpstreamId gone = pair.placed->selection->upstream;
-        std::vector<UpstreamEntry> left = upstreams(upstreamCount);
-        std::erase_if(left, [&](const UpstreamEntry &entry) { return entry.id == gone; });
-        pair.querier->state.upstreamsListed(left, 2);
+        const UpstreamId removed = pair.placed->selection->upstream;
+        std::vector<UpstreamEntry> remaining = upstreams(upstreamCount);
+        std::erase_if(remaining, [&](const UpstreamEntry &entry) { return entry.id == removed; });
+        pair.querier->state.upstreamsListed(remaining, 2);
         pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
-        CPPUNIT_ASSERT(pair.placed->selection->upstream != gone);
+        CPPUNIT_ASSERT(pair.placed->selection->upstream != removed);
     }
 
-    void strangerPlacesNothing()
+    void gatewayWithAnotherKeyPlacesNothing()
     {
         Pair pair("a key of somebody else");
         pair.query();
@@ -217,12 +220,12 @@
     void callThatCannotBeginInTimeIsRefused()
     {
         Pair pair;
-        pair.load(70'000); // 2 s of reading
+        pair.load(70'000); // 2 s of prefill
         pair.query();
         pair.advance(milliseconds(10));
         CPPUNIT_ASSERT(pair.placed && !pair.placed->selection && pair.placed->retryAfter);
         CPPUNIT_ASSERT(*pair.placed->retryAfter
-                       > milliseconds(1840)); // 2 s less a quarter of the target
+                       > milliseconds(1840)); // 2 s minus a quarter of the target
         CPPUNIT_ASSERT(*pair.placed->retryAfter < milliseconds(1860));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
                              pair.querier->counters.value(Counter::PlacementsUnanswered));
@@ -245,7 +248,7 @@
         CPPUNIT_ASSERT(pair.placed && pair.placed->selection);
     }
 
-    void schedulerLearnsThePace()
+    void rateSamplesReachTheScheduler()
     {
         Pair pair;
         const ServiceName service("llm");
--- a/src/peer/placementmessages.cpp
+++ b/src/peer/placementmessages.cpp
@@ -17,9 +17,9 @@
     return pvt::decodePayload<GroupLoad>(payload, reason);
 }
 
-std::string encodePlacementQuery(const PlacementQuery &ask)
+std::string encodePlacementQuery(const PlacementQuery &query)
 {
-    return pvt::encodePayload(ask);
+    return pvt::encodePayload(query);
 }
 
 std::optional<PlacementQuery> decodePlacementQuery(std::string_view payload, std::string *reason)
@@ -27,9 +27,9 @@
     return pvt::decodePayload<PlacementQuery>(payload, reason);
 }
 
-std::string encodePlacementReply(const PlacementReply &answer)
+std::string encodePlacementReply(const PlacementReply &reply)
 {
-    return pvt::encodePayload(answer);
+    return pvt::encodePayload(reply);
 }
 
 std::optional<PlacementReply> decodePlacementReply(std::string_view payload, std::string *reason)
--- a/src/peer/placementmessages.h
+++ b/src/peer/placementmessages.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What gateways say to each other about where a call is to be placed.
+/// Messages between gateways about the placement of calls.
 
 #pragma once
 
@@ -17,18 +17,18 @@
 
 namespace reachlead {
 
-/// Who sends, in which life, and the load that it causes at one group's upstreams.
+/// A gateway's report of the load that its calls cause at the upstreams of one group.
 struct GroupLoad
 {
     VmName from;
     Incarnation incarnation;
-    std::uint64_t sequence = 0; ///< of all that this life of the gateway sends
+    std::uint64_t sequence = 0; ///< of all messages sent by this incarnation
     GroupName group;
     QueryId oldestPendingQuery = 0; ///< as in ReportedLoad
     std::vector<CompactLoad> load;
-    RateSample rateSample; ///< of the group's service, seen since the last report
-    std::vector<CompactLimit> limits; ///< of the group's upstreams, heard lately
-    std::vector<UpstreamId> leaving; ///< of the group's service, that said so lately
+    RateSample rateSample; ///< of the group's service, since the last report
+    std::vector<CompactLimit> limits; ///< of the group's upstreams, received recently
+    std::vector<UpstreamId> leaving; ///< upstreams of the service that recently announced it
 
     template <class Archive> void serialize(Archive &ar)
     {
@@ -37,7 +37,7 @@
     }
 };
 
-/// A part of a prompt, short.
+/// A prompt part in compact form.
 struct CompactPromptPart
 {
     std::uint64_t id = 0;
@@ -46,21 +46,22 @@
     template <class Archive> void serialize(Archive &ar) { ar(id, tokens); }
 };
 
-/// Asks where a call is to be placed.
+/// Query for the upstream at which to place a call.
 struct PlacementQuery
 {
-    GroupLoad report; ///< what the asker has there already
+    GroupLoad report; ///< the querying gateway's load in the group
     QueryId queryId = 0;
-    ZoneName zone; ///< of the asker
+    ZoneName zone; ///< of the querying gateway
     std::string model;
     std::vector<CompactPromptPart> prompt;
-    /// Not to be taken: tried by this call in vain, or the asker was asked to back off.
+    /// Upstreams not to be selected: this call has already tried them, or they requested a backoff
+    /// from the querying gateway.
     std::vector<UpstreamHash> excluded;
-    std::vector<UpstreamHash> failing; ///< by the asker's evidence
-    std::uint32_t targetMs = 0; ///< to the first event; 0: none is promised
-    std::uint32_t timeLeftMs = 0; ///< until the caller gives up
-    bool isMostUrgent = false; ///< as in Patience
-    std::uint8_t urgencyRank = 0; ///< as in Patience
+    std::vector<UpstreamHash> failing; ///< as seen by the querying gateway
+    std::uint32_t targetMs = 0; ///< time to the first event; 0: no target
+    std::uint32_t timeLeftMs = 0; ///< until the caller's deadline
+    bool isMostUrgent = false; ///< as in LatencySlack
+    std::uint8_t urgencyRank = 0; ///< as in LatencySlack
     bool mayRefuse = false; ///< as in SelectionQuery
     std::optional<ZoneSet> permittedZones; ///< as in SelectionQuery
 
@@ -71,18 +72,18 @@
     }
 };
 
-/// Failing upstreams in one question: 64 bytes.
+/// Maximum number of failing upstreams in a query: 64 bytes.
 inline constexpr std::size_t maxFailingUpstreams = 16;
-/// Upstreams that the asker backs off from, in one question: 128 bytes, about a group.
+/// Maximum number of upstreams in a query that requested a backoff: 128 bytes, about one group.
 inline constexpr std::size_t maxBackedOffUpstreams = 32;
 
-/// Where a call is to be placed.
+/// The upstream selected for a call, in compact form.
 struct PlacedCall
 {
     UpstreamHash upstream = 0;
     std::uint32_t prefillTokens = 0;
     std::int32_t costMs = 0;
-    std::uint32_t tokensToFirstEvent = 0; ///< as in Choice
+    std::uint32_t tokensToFirstEvent = 0; ///< as in Selection
     bool isPreferred = false;
     bool isShortPrompt = false;
     std::optional<UpstreamHash> fetchFrom;
@@ -94,15 +95,15 @@
     }
 };
 
-/// Answers a PlacementQuery.
+/// Reply to a PlacementQuery.
 struct PlacementReply
 {
     VmName from;
-    Incarnation querier; ///< the life of the gateway that asked
+    Incarnation querier; ///< incarnation of the querying gateway
     QueryId queryId = 0;
-    std::optional<PlacedCall> placed; ///< none: decide by yourself, unless it is refused
-    std::optional<std::uint32_t> retryAfterMs; ///< refused until then
-    bool isStopping = false; ///< another gateway is to be asked from now on
+    std::optional<PlacedCall> placed; ///< none: refused, or the querying gateway is to select
+    std::optional<std::uint32_t> retryAfterMs; ///< set if the call is refused
+    bool isStopping = false; ///< the querying gateway is to query another one from now on
 
     template <class Archive> void serialize(Archive &ar)
     {
@@ -110,12 +111,12 @@
     }
 };
 
-/// Payloads without a length ahead. Decoding gives nothing with \p reason set for other bytes.
+/// Payloads have no length prefix. Decoding invalid bytes returns nothing and sets \p reason.
 std::string encodeGroupLoad(const GroupLoad &report);
 std::optional<GroupLoad> decodeGroupLoad(std::string_view payload, std::string *reason);
-std::string encodePlacementQuery(const PlacementQuery &ask);
+std::string encodePlacementQuery(const PlacementQuery &query);
 std::optional<PlacementQuery> decodePlacementQuery(std::string_view payload, std::string *reason);
-std::string encodePlacementReply(const PlacementReply &answer);
+std::string encodePlacementReply(const PlacementReply &reply);
 std::optional<PlacementReply> decodePlacementReply(std::string_view payload, std::string *reason);
 
 } // namespace reachlead
--- a/src/peer/placementpair.h
+++ b/src/peer/placementpair.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Two gateways that place for each other over real datagrams, for tests.
+/// Test fixture: two gateways that place each other's calls over real datagrams.
 
 #pragma once
 
@@ -22,8 +22,7 @@
 
 namespace reachlead {
 
-/// Two gateways of one fleet on a paused clock, of which `scheduler` places all calls of the
-/// service.
+/// Two gateways of one fleet on a paused clock. `scheduler` places all calls of the service.
 struct PlacementPair
 {
     static constexpr Time start{seconds(1000)};
@@ -62,25 +61,25 @@
 
         static GatewayState::Options stateOptions(const std::string &vm)
         {
-            GatewayState::Options made;
-            made.vm = VmName(vm);
-            return made;
+            GatewayState::Options options;
+            options.vm = VmName(vm);
+            return options;
         }
         static GatewayPeers::Options peerOptions(const std::string &vm, const std::string &key,
                                                  Counters *counters)
         {
-            GatewayPeers::Options made;
-            made.self = {VmName(vm), {"127.0.0.1", 0}};
-            made.keys = keys(key);
-            made.counters = counters;
-            return made;
+            GatewayPeers::Options options;
+            options.self = {VmName(vm), {"127.0.0.1", 0}};
+            options.keys = keys(key);
+            options.counters = counters;
+            return options;
         }
         static PlacementLink::Options linkOptions(Counters *counters)
         {
-            PlacementLink::Options made;
-            made.counters = counters;
-            made.refusal.waitTargets = 0.25;
-            return made;
+            PlacementLink::Options options;
+            options.counters = counters;
+            options.refusal.waitTargets = 0.25;
+            return options;
         }
         GatewayEntry entry() const { return peers.self(); }
         std::uint32_t running(const UpstreamId &id)
@@ -103,9 +102,9 @@
         const VmName second = first == VmName("a") ? VmName("b") : VmName("a");
         scheduler = std::make_unique<Node>(io, first.text, otherKey);
         querier = std::make_unique<Node>(io, second.text, "the key of this fleet");
-        const std::vector<GatewayEntry> both{scheduler->entry(), querier->entry()};
-        scheduler->state.gatewaysChanged({1, both});
-        querier->state.gatewaysChanged({1, both});
+        const std::vector<GatewayEntry> gateways{scheduler->entry(), querier->entry()};
+        scheduler->state.gatewaysChanged({1, gateways});
+        querier->state.gatewaysChanged({1, gateways});
     }
     ~PlacementPair()
     {
@@ -118,18 +117,18 @@
     void advance(Duration d)
     {
         constexpr Duration step = milliseconds(5);
-        constexpr int mostPolls = 1000;
-        for (Duration moved{}; moved < d; moved += step) {
+        constexpr int maxPolls = 1000;
+        for (Duration elapsed{}; elapsed < d; elapsed += step) {
             RuntimeClock::advance(step);
             io.restart();
             io.run_for(std::chrono::milliseconds(3));
-            // A datagram arrives as it is sent, so what it leads to is ready, however little of
-            // the processor this process got meanwhile.
-            for (int n = 0; n < mostPolls && io.poll() > 0; ++n) { }
+            // Runs all ready handlers. A datagram on the loopback interface arrives when it is
+            // sent, so its effects do not depend on how much processor time this process gets.
+            for (int n = 0; n < maxPolls && io.poll() > 0; ++n) { }
         }
     }
 
-    /// Asks at the asker; nothing while no choice is made.
+    /// Requests a placement at the querying gateway; `placed` is empty until there is a result.
     void query()
     {
         placed.reset();
@@ -137,17 +136,17 @@
     }
     boost::asio::awaitable<void> queryOnce()
     {
-        SelectionQuery wanted{ServiceName("llm"), "m", prompt, nullptr};
-        wanted.slack = {milliseconds(600), seconds(6), false};
-        wanted.mayRefuse = true;
-        PlacementResult got = co_await querier->link.select(wanted);
-        if (got.selection)
-            querier->state.upstreams().sent(got.selection->upstream, wanted, *got.selection,
-                                            RuntimeClock::now());
-        placed = std::move(got);
+        SelectionQuery selectionQuery{ServiceName("llm"), "m", prompt, nullptr};
+        selectionQuery.slack = {milliseconds(600), seconds(6), false};
+        selectionQuery.mayRefuse = true;
+        PlacementResult result = co_await querier->link.select(selectionQuery);
+        if (result.selection)
+            querier->state.upstreams().sent(result.selection->upstream, selectionQuery,
+                                            *result.selection, RuntimeClock::now());
+        placed = std::move(result);
     }
 
-    /// Each engine has \p tokens to read, by the scheduler's knowledge.
+    /// Makes the scheduler believe that each engine has \p tokens still to be prefilled.
     void load(TokenCount tokens) const
     {
         LoadByUpstream load;
