--- a/src/peer/usagelink.cpp
+++ b/src/peer/usagelink.cpp
@@ -25,17 +25,17 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-constexpr Duration lookInterval = milliseconds(100); ///< between looks at what the duty wants
-constexpr Duration failurePause = milliseconds(300); ///< after a call that failed
-constexpr Duration askAgain = milliseconds(350); ///< a question or its answer was lost
+constexpr Duration checkInterval = milliseconds(100); ///< of the reporter's next step
+constexpr Duration failureBackoff = milliseconds(300); ///< after a failed read, write or report
+constexpr Duration queryRetryInterval = milliseconds(350); ///< a query or its reply was lost
 
-std::uint64_t callsOf(const UsageCounts &counts)
+std::uint64_t totalCalls(const UsageCounts &counts)
 {
     const auto each = counts | std::views::values;
     return std::accumulate(each.begin(), each.end(), std::uint64_t{0});
 }
 
-std::int64_t millisOf(Duration d)
+std::int64_t wholeMillis(Duration d)
 {
     return static_cast<std::int64_t>(toMillis(d));
 }
@@ -45,16 +45,16 @@
 UsageLink::UsageLink(asio::io_context &io, const Options &options, GatewayPeers &peers,
                      std::unique_ptr<UsagePlatform> platform)
     : m_io(io), m_options(options), m_peers(peers), m_platform(std::move(platform)),
-      m_book({peers.self().vm, peers.incarnation()}, options.window),
-      m_duty(m_book.self(), options.lease)
+      m_table({peers.self().vm, peers.incarnation()}, options.window),
+      m_reporter(m_table.self(), options.lease)
 {
     if (!m_options.isEnabled)
         return;
     m_peers.onDatagram({PeerMessageKind::UsageQuery, PeerMessageKind::UsageReport},
                        [this](PeerMessageKind kind, std::string_view message,
-                              const udp::endpoint &from) { take(kind, message, from); });
-    asio::co_spawn(io, tellLoop(), asio::detached);
-    asio::co_spawn(io, dutyLoop(), asio::detached);
+                              const udp::endpoint &from) { handleDatagram(kind, message, from); });
+    asio::co_spawn(io, reportLoop(), asio::detached);
+    asio::co_spawn(io, leaseLoop(), asio::detached);
 }
 
 void UsageLink::count(Counter c)
@@ -66,7 +66,7 @@
 void UsageLink::callStarted(const AccountName &account)
 {
     if (m_options.isEnabled)
-        m_book.countCall(account, m_peers.timeOfDay());
+        m_table.countCall(account, m_peers.timeOfDay());
 }
 
 void UsageLink::stop()
@@ -74,52 +74,53 @@
     m_stopped = true;
     if (!m_options.isEnabled)
         return;
-    tellCollectors(true);
+    sendToCollectors(true);
     m_platform->stop();
 }
 
-// Telling
+// Reports to collectors
 
-/// Looks again which gateways live. Not done at each look at the duty, as it goes through all of
-/// them.
-void UsageLink::refreshOthers()
+/// Updates the live gateways. Not done at each check of the reporter, as it iterates over all
+/// gateways.
+void UsageLink::refreshLivePeers()
 {
-    m_others.clear();
+    m_livePeers.clear();
     std::ranges::transform(m_peers.recentIncarnations(livenessTimeout),
-                           std::inserter(m_others, m_others.end()), &GatewayIncarnation::vm);
-    m_rank = rendezvousPosition(m_book.self().vm, m_others);
+                           std::inserter(m_livePeers, m_livePeers.end()), &GatewayIncarnation::vm);
+    m_position = rendezvousPosition(m_table.self().vm, m_livePeers);
 }
 
-void UsageLink::tell(const udp::endpoint &to, const WindowUsage &usage)
+void UsageLink::sendUsage(const udp::endpoint &to, const WindowUsage &usage)
 {
     m_peers.sendTo(to, PeerMessageKind::UsageReport, pvt::encodePayload(usage));
 }
 
-/// Tells this gateway's collectors what it counted since it last told them.
-void UsageLink::tellCollectors(bool isLast)
+/// Sends the counts that have changed since the last report to this gateway's collectors.
+void UsageLink::sendToCollectors(bool isLast)
 {
-    const std::vector<VmName> first = rendezvousPeers(m_book.self().vm, m_others, collectorCount);
-    if (std::exchange(m_toldTo, first) != first)
-        m_told.clear();
+    const std::vector<VmName> recipients =
+        rendezvousPeers(m_table.self().vm, m_livePeers, collectorCount);
+    if (std::exchange(m_collectors, recipients) != recipients)
+        m_sentCalls.clear();
     const std::map<VmName, GatewayEntry> fleet = m_peers.fleet();
     const UnixMillis now = m_peers.timeOfDay();
-    const WindowNumber current = m_book.windowAt(now);
+    const WindowNumber current = m_table.windowAt(now);
     for (const WindowNumber window : {current - 1, current}) {
-        WindowUsage usage = m_book.ownUsage(window, now);
+        WindowUsage usage = m_table.ownUsage(window, now);
         usage.isFinal = usage.isFinal || isLast;
-        const std::uint64_t calls = callsOf(usage.counts);
-        if (std::exchange(m_told[window], calls) == calls && !isLast)
+        const std::uint64_t calls = totalCalls(usage.counts);
+        if (std::exchange(m_sentCalls[window], calls) == calls && !isLast)
             continue;
-        for (const VmName &vm : first) {
+        for (const VmName &vm : recipients) {
             if (const auto it = fleet.find(vm); it != fleet.end())
                 m_peers.sendTo(it->second.address, PeerMessageKind::UsageReport,
                                pvt::encodePayload(usage));
         }
     }
-    m_told.erase(m_told.begin(), m_told.lower_bound(current - 1));
+    m_sentCalls.erase(m_sentCalls.begin(), m_sentCalls.lower_bound(current - 1));
 }
 
-asio::awaitable<void> UsageLink::tellLoop()
+asio::awaitable<void> UsageLink::reportLoop()
 {
     Timer timer(m_io);
     while (!m_stopped) {
@@ -128,103 +129,106 @@
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
         if (m_stopped)
             co_return;
-        refreshOthers();
-        tellCollectors(false);
-        const WindowNumber current = m_book.windowAt(m_peers.timeOfDay());
-        m_book.dropBefore(current - UsageTable::maxWindows);
-        m_asked.erase(m_asked.begin(), m_asked.lower_bound(current - UsageTable::maxWindows));
+        refreshLivePeers();
+        sendToCollectors(false);
+        const WindowNumber current = m_table.windowAt(m_peers.timeOfDay());
+        m_table.dropBefore(current - UsageTable::maxWindows);
+        m_queries.erase(m_queries.begin(), m_queries.lower_bound(current - UsageTable::maxWindows));
     }
 }
 
-void UsageLink::take(PeerMessageKind kind, std::string_view message, const udp::endpoint &from)
+void UsageLink::handleDatagram(PeerMessageKind kind, std::string_view message,
+                               const udp::endpoint &from)
 {
     std::string reason;
     if (kind == PeerMessageKind::UsageQuery) {
-        if (const auto ask = pvt::decodePayload<UsageQuery>(message, &reason))
-            takeAsk(*ask, from);
-    } else if (const auto told = pvt::decodePayload<WindowUsage>(message, &reason)) {
-        m_book.merge(*told);
+        if (const auto query = pvt::decodePayload<UsageQuery>(message, &reason))
+            handleQuery(*query, from);
+    } else if (const auto usage = pvt::decodePayload<WindowUsage>(message, &reason)) {
+        m_table.merge(*usage);
     }
     if (!reason.empty())
         LogLine(LogLevel::Warn, "peer-datagram-refused").with("reason", reason);
 }
 
-/// Answers with this gateway's counts, and with those of gateways that can no longer answer.
-void UsageLink::takeAsk(const UsageQuery &ask, const udp::endpoint &from)
+/// Replies with this gateway's counts, and with those of gateways that can no longer reply.
+void UsageLink::handleQuery(const UsageQuery &query, const udp::endpoint &from)
 {
-    tell(from, m_book.ownUsage(ask.window, m_peers.timeOfDay()));
+    sendUsage(from, m_table.ownUsage(query.window, m_peers.timeOfDay()));
     const std::set<GatewayIncarnation> live = m_peers.recentIncarnations(GatewayPeers::peerTimeout);
-    for (const WindowUsage &usage : m_book.exitedUsage(live, ask.window))
-        tell(from, usage);
+    for (const WindowUsage &usage : m_table.exitedUsage(live, query.window))
+        sendUsage(from, usage);
 }
 
-void UsageLink::ask(WindowNumber window)
+void UsageLink::queryCounts(WindowNumber window)
 {
     const Time now = RuntimeClock::now();
-    const auto [it, isFirst] = m_asked.try_emplace(window, Asked{now, now});
-    if (!isFirst && now < it->second.last + askAgain)
+    const auto [it, isFirst] = m_queries.try_emplace(window, QueryTimes{now, now});
+    if (!isFirst && now < it->second.last + queryRetryInterval)
         return;
     it->second.last = now;
     const std::string payload = pvt::encodePayload(UsageQuery{window});
     for (const auto &[vm, entry] : m_peers.fleet()) {
-        if (vm != m_book.self().vm)
+        if (vm != m_table.self().vm)
             m_peers.sendTo(entry.address, PeerMessageKind::UsageQuery, payload);
     }
 }
 
-/// True when all gateways that live have told their counts of a window, or had their time to.
+/// Returns true if all live gateways have reported their final counts of a window, or the time
+/// limit for that has passed.
 bool UsageLink::isComplete(WindowNumber window)
 {
-    const auto it = m_asked.find(window);
-    if (it == m_asked.end())
+    const auto it = m_queries.find(window);
+    if (it == m_queries.end())
         return false;
     return it->second.first + queryTimeout <= RuntimeClock::now()
         || std::ranges::all_of(
                m_peers.recentIncarnations(livenessTimeout),
-               [&](const GatewayIncarnation &life) { return m_book.isFinal(life, window); });
+               [&](const GatewayIncarnation &gateway) { return m_table.isFinal(gateway, window); });
 }
 
-// The duty
+// Reports to the platform
 
-/// The last window that this gateway may report: the holder soon after its end, the others later by
-/// their rank, so that they come to it only when nobody else did.
-WindowNumber UsageLink::lastDue() const
+/// Returns the last window that this gateway may report by now. The lease holder may do so soon
+/// after the end of a window; the others wait longer the later they are in rendezvous order, so
+/// that each acts only if no gateway before it did.
+WindowNumber UsageLink::lastDueWindow() const
 {
     Duration delay = holderDelay;
-    if (!m_duty.isHolder())
-        delay = standbyDelay + standbyStep * static_cast<std::int64_t>(m_rank);
-    return m_book.windowAt(m_peers.timeOfDay() - millisOf(delay)) - 1;
+    if (!m_reporter.isHolder())
+        delay = standbyDelay + standbyStep * static_cast<std::int64_t>(m_position);
+    return m_table.windowAt(m_peers.timeOfDay() - wholeMillis(delay)) - 1;
 }
 
 UsageAction UsageLink::nextAction()
 {
     UsageView view;
     view.now = RuntimeClock::now();
-    view.dueWindow = lastDue();
-    const WindowNumber window = m_duty.nextWindow(view.dueWindow);
-    const bool isOurs = m_duty.isHolder() || !m_duty.lastKnown();
+    view.dueWindow = lastDueWindow();
+    const WindowNumber window = m_reporter.nextWindow(view.dueWindow);
+    const bool mayQuery = m_reporter.isHolder() || !m_reporter.lastKnown();
     if (window <= view.dueWindow) {
-        if (isOurs)
-            ask(window);
-        view.counts = m_book.total(window);
+        if (mayQuery)
+            queryCounts(window);
+        view.counts = m_table.total(window);
         view.isComplete = isComplete(window);
         for (WindowNumber it = window; it <= view.dueWindow; ++it)
-            view.hasCalls = view.hasCalls || !m_book.total(it).empty();
+            view.hasCalls = view.hasCalls || !m_table.total(it).empty();
     }
-    return m_duty.next(view);
+    return m_reporter.next(view);
 }
 
-asio::awaitable<void> UsageLink::dutyLoop()
+asio::awaitable<void> UsageLink::leaseLoop()
 {
     Timer timer(m_io);
     while (!m_stopped) {
         boost::system::error_code ec;
-        timer.expires_after(lookInterval);
+        timer.expires_after(checkInterval);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-        const bool rests = RuntimeClock::now() < m_restUntil;
-        if (m_stopped || rests || m_peers.timeOfDay() == 0)
+        const bool isPaused = RuntimeClock::now() < m_pausedUntil;
+        if (m_stopped || isPaused || m_peers.timeOfDay() == 0)
             continue;
-        if (!m_duty.isHolder() && m_rank >= maxCandidates)
+        if (!m_reporter.isHolder() && m_position >= maxCandidates)
             continue;
         UsageAction action = nextAction();
         co_await perform(std::move(action));
@@ -237,85 +241,85 @@
     case UsageStep::Idle:
         co_return;
     case UsageStep::Skip:
-        m_duty.skip(action.record.window);
+        m_reporter.skip(action.record.window);
         co_return;
     case UsageStep::Read:
-        co_await read();
+        co_await readRecord();
         co_return;
     case UsageStep::Write:
-        co_await write(std::move(action));
+        co_await writeRecord(std::move(action));
         co_return;
     case UsageStep::Send:
-        co_await send(std::move(action));
+        co_await sendReport(std::move(action));
         co_return;
     }
 }
 
-asio::awaitable<void> UsageLink::read()
+asio::awaitable<void> UsageLink::readRecord()
 {
-    const UsageReply answer = co_await m_platform->read();
-    if (answer.result == UsageResult::Done) {
-        m_duty.onRead(answer.stored, RuntimeClock::now());
-        noteHolder();
+    const UsageReply reply = co_await m_platform->read();
+    if (reply.result == UsageResult::Done) {
+        m_reporter.onRead(reply.stored, RuntimeClock::now());
+        logHolder();
     } else {
-        noteFailure("read", answer);
+        recordFailure("read", reply);
     }
 }
 
-asio::awaitable<void> UsageLink::write(UsageAction action)
+asio::awaitable<void> UsageLink::writeRecord(UsageAction action)
 {
-    const Time began = RuntimeClock::now();
+    const Time startedAt = RuntimeClock::now();
     const UsageRecord record = action.record;
-    const UsageReply answer = co_await m_platform->write(record, action.revision);
-    if (answer.result == UsageResult::Done) {
-        m_duty.onWritten(record, answer.revision, began);
+    const UsageReply reply = co_await m_platform->write(record, action.revision);
+    if (reply.result == UsageResult::Done) {
+        m_reporter.onWritten(record, reply.revision, startedAt);
         if (action.isTakeover)
             count(Counter::UsageTakeovers);
-        noteHolder();
+        logHolder();
         co_return;
     }
-    m_duty.invalidate();
-    if (answer.result != UsageResult::Conflict)
-        noteFailure("write", answer);
+    m_reporter.invalidate();
+    if (reply.result != UsageResult::Conflict)
+        recordFailure("write", reply);
 }
 
-asio::awaitable<void> UsageLink::send(UsageAction action)
+asio::awaitable<void> UsageLink::sendReport(UsageAction action)
 {
     const UsageRecord record = action.record;
-    const UsageReply answer = co_await m_platform->send(record, action.limit);
-    if (answer.result != UsageResult::Done) {
+    const UsageReply reply = co_await m_platform->send(record, action.limit);
+    if (reply.result != UsageResult::Done) {
         count(Counter::UsageSendsFailed);
-        noteFailure("send", answer);
-        if (++m_failures >= maxFailures && !m_others.empty()) {
-            m_restUntil = RuntimeClock::now() + m_options.window + standbyDelay + m_options.lease;
+        recordFailure("send", reply);
+        if (++m_failures >= maxFailures && !m_livePeers.empty()) {
+            m_pausedUntil = RuntimeClock::now() + m_options.window + standbyDelay + m_options.lease;
             m_failures = 0;
         }
         co_return;
     }
     m_failures = 0;
-    m_duty.onSent(record);
+    m_reporter.onSent(record);
     count(Counter::UsageWindowsSent);
     LogLine(LogLevel::Info, "usage-reported")
         .with("window", record.window)
         .with("token", record.token)
         .with("accounts", record.counts.size())
-        .with("calls", callsOf(record.counts))
-        .with("age_ms", m_peers.timeOfDay() - m_book.windowEnd(record.window))
+        .with("calls", totalCalls(record.counts))
+        .with("age_ms", m_peers.timeOfDay() - m_table.windowEnd(record.window))
         .with("gateways", m_peers.recentIncarnations(livenessTimeout).size() + 1);
 }
 
-void UsageLink::noteFailure(std::string_view step, const UsageReply &answer)
+void UsageLink::recordFailure(std::string_view step, const UsageReply &reply)
 {
-    LogLine(LogLevel::Warn, "usage-call-failed").with("step", step).with("reason", answer.reason);
-    m_restUntil = std::max(m_restUntil, RuntimeClock::now() + failurePause);
+    LogLine(LogLevel::Warn, "usage-call-failed").with("step", step).with("reason", reply.reason);
+    m_pausedUntil = std::max(m_pausedUntil, RuntimeClock::now() + failureBackoff);
 }
 
-void UsageLink::noteHolder()
+void UsageLink::logHolder()
 {
-    if (!m_duty.lastKnown() || m_duty.lastKnown()->record.holder == m_holder)
+    if (!m_reporter.lastKnown() || m_reporter.lastKnown()->record.holder == m_loggedHolder)
         return;
-    const UsageRecord &record = m_duty.lastKnown()->record;
-    m_holder = record.holder;
+    const UsageRecord &record = m_reporter.lastKnown()->record;
+    m_loggedHolder = record.holder;
     LogLine(LogLevel::Info, "usage-holder")
         .with("holder", record.holder.vm.text)
         .with("token", record.token)
--- a/src/peer/usagelink.h
+++ b/src/peer/usagelink.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Gathers the gateways' counts of usage and reports them while this gateway holds the duty.
+/// Collects the gateways' usage counts and reports them while this gateway holds the lease.
 
 #pragma once
 
@@ -24,7 +24,7 @@
 
 namespace reachlead {
 
-/// Asks for a window's counts.
+/// Query for the counts of a window.
 struct UsageQuery
 {
     WindowNumber window = 0;
@@ -32,94 +32,97 @@
     template <class Archive> void serialize(Archive &ar) { ar(window); }
 };
 
-/// One thread. The holder asks all gateways once a window has ended, so that what is told grows
-/// with the windows and not with the calls; meanwhile each gateway tells its counts to a few others
-/// of its own, so that they outlive it.
+/// Exchanges usage counts with the other gateways and runs the UsageReporter. The lease holder
+/// queries all gateways after the end of a window, so that traffic grows with the number of windows
+/// and not of calls. In the meantime each gateway sends its counts to a few others, its collectors,
+/// so that the counts survive it. Not thread-safe.
 class UsageLink
 {
 public:
     struct Options
     {
         bool isEnabled = false;
-        Duration window = seconds(5); ///< that a report is of; multiples of it since 1970
-        Duration lease = seconds(3); ///< in which no two gateways may hold the duty by turns
-        Counters *counters = nullptr; ///< must outlive the link; null: nothing is counted
+        Duration window = seconds(5); ///< length; windows start at multiples of it since 1970
+        Duration lease = seconds(3); ///< after a write, time in which no other gateway may report
+        Counters *counters = nullptr; ///< must outlive the link; may be null
     };
 
     UsageLink(boost::asio::io_context &io, const Options &options, GatewayPeers &peers,
               std::unique_ptr<UsagePlatform> platform);
 
-    /// A call of an account began to run about now.
+    /// Counts a call of an account that has just started to run.
     void callStarted(const AccountName &account);
 
-    /// Ends the duty; what was counted is told to those that stay.
+    /// Stops reporting, and sends the counts to the collectors.
     void stop();
 
-    const UsageReporter &reporter() const { return m_duty; }
+    const UsageReporter &reporter() const { return m_reporter; }
 
-    /// Gateways that may become the holder, by rank: enough that some of them live and reach the
-    /// store whatever fails together. Each reads the record once a window.
+    /// Number of gateways, in rendezvous order, that may become the lease holder. Enough that some
+    /// of them are live and reach the store if several fail together. Each of them reads the record
+    /// once per window.
     static constexpr std::size_t maxCandidates = 6;
-    /// Gateways that hear of a gateway's counts before a window ends.
+    /// Number of gateways that receive a gateway's counts before a window ends.
     static constexpr std::size_t collectorCount = 3;
-    /// Between two tellings to the collectors: a gateway that is killed takes less than this of its
-    /// counts with it.
+    /// Interval of reports to the collectors. A gateway that is killed loses the counts of less
+    /// than this time.
     static constexpr Duration reportInterval = milliseconds(500);
-    /// From a window's end until its holder asks for counts: they have settled by then.
+    /// Time from the end of a window until the lease holder queries the counts, which are final
+    /// then.
     static constexpr Duration holderDelay = UsageTable::settleTime + milliseconds(100);
-    /// From a window's end until the first other candidate looks whether it was reported, and from
-    /// each candidate to the next.
+    /// Time from the end of a window until the first of the other candidates checks whether it was
+    /// reported, and from each candidate to the next.
     static constexpr Duration standbyDelay = milliseconds(2500);
     static constexpr Duration standbyStep = milliseconds(700);
-    /// A gateway that has not told its counts this long after it was asked is not waited for.
+    /// Time after the first query of a window when missing counts are no longer waited for.
     static constexpr Duration queryTimeout = milliseconds(1000);
-    /// A gateway that was not heard for this long is not waited for: some rounds of beats.
+    /// A gateway without a heartbeat for this time, several heartbeat intervals, is not waited for.
     static constexpr Duration livenessTimeout = milliseconds(3000);
-    /// Reports in a row that fail until the holder leaves the duty to others, for long enough that
-    /// they come to the next window first: the platform may be out of reach for this VM alone.
+    /// Number of consecutive failed reports after which the lease holder pauses, so that another
+    /// candidate reports the next window. The platform may be unreachable from this VM only.
     static constexpr unsigned maxFailures = 3;
 
 private:
-    struct Asked
+    struct QueryTimes
     {
         Time first;
         Time last;
     };
 
-    boost::asio::awaitable<void> tellLoop();
-    boost::asio::awaitable<void> dutyLoop();
+    boost::asio::awaitable<void> reportLoop();
+    boost::asio::awaitable<void> leaseLoop();
     boost::asio::awaitable<void> perform(UsageAction action);
-    boost::asio::awaitable<void> read();
-    boost::asio::awaitable<void> write(UsageAction action);
-    boost::asio::awaitable<void> send(UsageAction action);
+    boost::asio::awaitable<void> readRecord();
+    boost::asio::awaitable<void> writeRecord(UsageAction action);
+    boost::asio::awaitable<void> sendReport(UsageAction action);
     UsageAction nextAction();
-    void refreshOthers();
-    WindowNumber lastDue() const;
+    void refreshLivePeers();
+    WindowNumber lastDueWindow() const;
     bool isComplete(WindowNumber window);
-    void ask(WindowNumber window);
-    void tellCollectors(bool isLast);
-    void tell(const boost::asio::ip::udp::endpoint &to, const WindowUsage &usage);
-    void take(PeerMessageKind kind, std::string_view message,
-              const boost::asio::ip::udp::endpoint &from);
-    void takeAsk(const UsageQuery &ask, const boost::asio::ip::udp::endpoint &from);
-    void noteFailure(std::string_view step, const UsageReply &answer);
-    void noteHolder();
+    void queryCounts(WindowNumber window);
+    void sendToCollectors(bool isLast);
+    void sendUsage(const boost::asio::ip::udp::endpoint &to, const WindowUsage &usage);
+    void handleDatagram(PeerMessageKind kind, std::string_view message,
+                        const boost::asio::ip::udp::endpoint &from);
+    void handleQuery(const UsageQuery &query, const boost::asio::ip::udp::endpoint &from);
+    void recordFailure(std::string_view step, const UsageReply &reply);
+    void logHolder();
     void count(Counter c);
 
     boost::asio::io_context &m_io;
     Options m_options;
     GatewayPeers &m_peers;
     std::unique_ptr<UsagePlatform> m_platform;
-    UsageTable m_book;
-    UsageReporter m_duty;
-    std::set<VmName> m_others; ///< that live, as of the last telling
-    std::size_t m_rank = 0; ///< of this gateway among them
-    std::map<WindowNumber, Asked> m_asked;
-    std::map<WindowNumber, std::uint64_t> m_told; ///< calls that the collectors heard of
-    std::vector<VmName> m_toldTo;
-    GatewayIncarnation m_holder; ///< that was logged last
-    unsigned m_failures = 0; ///< of reports, in a row
-    Time m_restUntil{};
+    UsageTable m_table;
+    UsageReporter m_reporter;
+    std::set<VmName> m_livePeers; ///< as of the last report to the collectors
+    std::size_t m_position = 0; ///< of this gateway among them, in rendezvous order
+    std::map<WindowNumber, QueryTimes> m_queries;
+    std::map<WindowNumber, std::uint64_t> m_sentCalls; ///< calls already sent to the collectors
+    std::vector<VmName> m_collectors;
+    GatewayIncarnation m_loggedHolder; ///< logged last
+    unsigned m_failures = 0; ///< consecutive failed reports
+    Time m_pausedUntil{};
     bool m_stopped = false;
 };
 
--- a/src/peer/usagelink_test.cpp
+++ b/src/peer/usagelink_test.cpp
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// A store with one record and a platform that keeps what it was told, shared by all gateways.
-struct UsageWorld
+/// The state of a store with one record and of a platform that keeps all reports, shared by all
+/// gateways.
+struct UsageBackend
 {
-    struct Taken
+    struct Report
     {
         VmName holder;
         FencingToken token = 0;
@@ -26,80 +27,82 @@
     };
 
     std::optional<StoredUsage> stored;
-    std::map<WindowNumber, std::vector<Taken>> taken;
-    bool losesAnswers = false; ///< writes are done and not answered
+    std::map<WindowNumber, std::vector<Report>> reports;
+    bool losesReplies = false; ///< writes are executed without a reply
     bool isStoreDown = false;
-    std::set<VmName> turnedAway; ///< by the platform, not by the store
-    std::set<VmName> dead; ///< their calls reach nothing
+    std::set<VmName> refused; ///< their reports are refused, but not their store calls
+    std::set<VmName> killed; ///< their calls fail
     std::size_t calls = 0;
 };
 
-class UsagePlatformStandin : public UsagePlatform
+class FakeUsagePlatform : public UsagePlatform
 {
 public:
-    UsagePlatformStandin(UsageWorld &world, VmName vm) : m_world(world), m_vm(std::move(vm)) { }
+    FakeUsagePlatform(UsageBackend &backend, VmName vm)
+        : m_backend(backend), m_vm(std::move(vm)) { }
 
     boost::asio::awaitable<UsageReply> read() override
     {
-        ++m_world.calls;
-        UsageReply answer;
-        answer.result = isAway() ? UsageResult::Unknown : UsageResult::Done;
-        answer.stored = m_world.stored;
-        co_return answer;
+        ++m_backend.calls;
+        UsageReply reply;
+        reply.result = isUnreachable() ? UsageResult::Unknown : UsageResult::Done;
+        reply.stored = m_backend.stored;
+        co_return reply;
     }
 
     boost::asio::awaitable<UsageReply> write(UsageRecord record,
                                              std::optional<std::uint64_t> revision) override
     {
-        ++m_world.calls;
-        UsageReply answer;
-        if (isAway())
-            co_return answer;
-        const bool fits =
-            revision ? m_world.stored && m_world.stored->revision == *revision : !m_world.stored;
-        answer.result = fits ? UsageResult::Done : UsageResult::Conflict;
-        if (fits)
-            m_world.stored = StoredUsage{std::move(record), revision.value_or(0) + 1};
-        answer.revision = revision.value_or(0) + 1;
-        if (m_world.losesAnswers)
-            answer.result = UsageResult::Unknown;
-        co_return answer;
+        ++m_backend.calls;
+        UsageReply reply;
+        if (isUnreachable())
+            co_return reply;
+        const bool isExpected = revision
+            ? m_backend.stored && m_backend.stored->revision == *revision
+            : !m_backend.stored;
+        reply.result = isExpected ? UsageResult::Done : UsageResult::Conflict;
+        if (isExpected)
+            m_backend.stored = StoredUsage{std::move(record), revision.value_or(0) + 1};
+        reply.revision = revision.value_or(0) + 1;
+        if (m_backend.losesReplies)
+            reply.result = UsageResult::Unknown;
+        co_return reply;
     }
 
     boost::asio::awaitable<UsageReply> send(UsageRecord record, Duration /*limit*/) override
     {
-        ++m_world.calls;
-        UsageReply answer;
-        if (m_world.turnedAway.contains(m_vm) || m_world.dead.contains(m_vm))
-            co_return answer;
-        m_world.taken[record.window].push_back({record.holder.vm, record.token, record.counts});
-        answer.result = UsageResult::Done;
-        co_return answer;
+        ++m_backend.calls;
+        UsageReply reply;
+        if (m_backend.refused.contains(m_vm) || m_backend.killed.contains(m_vm))
+            co_return reply;
+        m_backend.reports[record.window].push_back({record.holder.vm, record.token, record.counts});
+        reply.result = UsageResult::Done;
+        co_return reply;
     }
 
     void stop() override { }
 
 private:
-    bool isAway() const { return m_world.isStoreDown || m_world.dead.contains(m_vm); }
+    bool isUnreachable() const { return m_backend.isStoreDown || m_backend.killed.contains(m_vm); }
 
-    UsageWorld &m_world;
+    UsageBackend &m_backend;
     VmName m_vm;
 };
 
 } // namespace
 
-/// Gateways that count, tell and report over real datagrams, on a paused clock.
+/// Gateways that exchange and report usage counts over real datagrams, on a paused clock.
 class UsageLinkTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UsageLinkTest);
     CPPUNIT_TEST(everyWindowIsReportedOnce);
-    CPPUNIT_TEST(countsOutliveTheirGateway);
-    CPPUNIT_TEST(stoppingGatewayTellsItsLastCounts);
-    CPPUNIT_TEST(nextInRankTakesOverFromADeadHolder);
-    CPPUNIT_TEST(lostAnswersOfTheStoreChangeNoReport);
-    CPPUNIT_TEST(windowsAreMadeUpForAfterAnOutage);
-    CPPUNIT_TEST(holderThatThePlatformTurnsAwayGivesWay);
-    CPPUNIT_TEST(offNothingIsCalled);
+    CPPUNIT_TEST(countsSurviveAKilledGateway);
+    CPPUNIT_TEST(stoppingGatewaySendsItsLastCounts);
+    CPPUNIT_TEST(nextCandidateTakesOverFromAKilledHolder);
+    CPPUNIT_TEST(lostRepliesOfTheStoreChangeNoReport);
+    CPPUNIT_TEST(windowsAreReportedAfterAnOutage);
+    CPPUNIT_TEST(holderRefusedByThePlatformIsReplaced);
+    CPPUNIT_TEST(disabledLinkMakesNoCalls);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Time start{seconds(1000)};
@@ -107,51 +110,51 @@
 
     struct Node
     {
-        Node(boost::asio::io_context &io, UsageWorld &world, const std::string &vm,
+        Node(boost::asio::io_context &io, UsageBackend &backend, const std::string &vm,
              std::vector<Endpoint> seeds, bool isEnabled)
-            : world(world), state(stateOptions(vm)),
+            : backend(backend), state(stateOptions(vm)),
               peers(io, peerOptions(vm, std::move(seeds)), state),
               link(io, linkOptions(isEnabled), peers,
-                   std::make_unique<UsagePlatformStandin>(world, VmName(vm)))
+                   std::make_unique<FakeUsagePlatform>(backend, VmName(vm)))
         { }
 
         static GatewayState::Options stateOptions(const std::string &vm)
         {
-            GatewayState::Options made;
-            made.vm = VmName(vm);
-            return made;
+            GatewayState::Options options;
+            options.vm = VmName(vm);
+            return options;
         }
         static GatewayPeers::Options peerOptions(const std::string &vm, std::vector<Endpoint> seeds)
         {
-            GatewayPeers::Options made;
-            made.self = {VmName(vm), {"127.0.0.1", 0}};
-            made.seeds = std::move(seeds);
-            return made;
+            GatewayPeers::Options options;
+            options.self = {VmName(vm), {"127.0.0.1", 0}};
+            options.seeds = std::move(seeds);
+            return options;
         }
         static UsageLink::Options linkOptions(bool isEnabled)
         {
-            UsageLink::Options made;
-            made.isEnabled = isEnabled;
-            made.window = window;
-            return made;
+            UsageLink::Options options;
+            options.isEnabled = isEnabled;
+            options.window = window;
+            return options;
         }
 
-        /// Ends it as a kill does.
-        void die()
+        /// Stops the gateway without any message, as if it was killed.
+        void kill()
         {
-            isDead = true;
-            world.dead.insert(state.vm());
+            isKilled = true;
+            backend.killed.insert(state.vm());
             peers.stop();
         }
 
-        UsageWorld &world;
+        UsageBackend &backend;
         GatewayState state;
         GatewayPeers peers;
         UsageLink link;
-        bool isDead = false;
+        bool isKilled = false;
     };
 
-    /// Three gateways that know of each other.
+    /// Three gateways that know each other.
     struct Fleet
     {
         explicit Fleet(bool isEnabled = true)
@@ -159,7 +162,7 @@
             RuntimeClock::pause(start);
             std::vector<Endpoint> seeds;
             for (const char *vm : {"g1", "g2", "g3"}) {
-                nodes.push_back(std::make_unique<Node>(io, world, vm, seeds, isEnabled));
+                nodes.push_back(std::make_unique<Node>(io, backend, vm, seeds, isEnabled));
                 seeds.push_back({"127.0.0.1", nodes.back()->peers.port()});
             }
             advance(seconds(2));
@@ -177,18 +180,18 @@
         void advance(Duration d)
         {
             constexpr Duration clockStep = milliseconds(20);
-            for (Duration moved{}; moved < d; moved += clockStep) {
+            for (Duration elapsed{}; elapsed < d; elapsed += clockStep) {
                 RuntimeClock::advance(clockStep);
                 io.restart();
                 io.run_for(std::chrono::milliseconds(2));
             }
         }
 
-        /// Each gateway that lives sees calls of two accounts.
+        /// Starts \p n calls of account t and one of account u at each live gateway.
         void call(std::uint32_t n)
         {
             for (const auto &node : nodes) {
-                if (node->isDead)
+                if (node->isKilled)
                     continue;
                 for (std::uint32_t it = 0; it < n; ++it)
                     node->link.callStarted(AccountName("t"));
@@ -199,27 +202,27 @@
         Node *holder()
         {
             const auto it = std::ranges::find_if(nodes, [](const auto &node) {
-                return !node->isDead && node->link.reporter().isHolder();
+                return !node->isKilled && node->link.reporter().isHolder();
             });
             return it == nodes.end() ? nullptr : it->get();
         }
 
-        /// Calls that were reported of an account in all windows; fails where one window has two
-        /// texts.
+        /// Returns the calls of an account reported in all windows. Fails if a window was reported
+        /// with two different sets of counts.
         std::uint32_t reported(const std::string &account) const
         {
             std::uint32_t sum = 0;
-            for (const auto &[number, reports] : world.taken) {
-                for (const auto &report : reports)
-                    CPPUNIT_ASSERT(report.counts == reports.front().counts);
-                const auto it = reports.front().counts.find(AccountName(account));
-                sum += it == reports.front().counts.end() ? 0 : it->second;
+            for (const auto &[number, windowReports] : backend.reports) {
+                for (const auto &report : windowReports)
+                    CPPUNIT_ASSERT(report.counts == windowReports.front().counts);
+                const auto it = windowReports.front().counts.find(AccountName(account));
+                sum += it == windowReports.front().counts.end() ? 0 : it->second;
             }
             return sum;
         }
 
         boost::asio::io_context io{1};
-        UsageWorld world;
+        UsageBackend backend;
         std::vector<std::unique_ptr<Node>> nodes;
     };
 
@@ -231,34 +234,34 @@
             fleet.advance(window);
         }
         fleet.advance(seconds(2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fleet.world.taken.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fleet.backend.reports.size());
         CPPUNIT_ASSERT_EQUAL(18U, fleet.reported("t"));
         CPPUNIT_ASSERT_EQUAL(9U, fleet.reported("u"));
-        for (const auto &[number, reports] : fleet.world.taken)
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reports.size());
+        for (const auto &[number, windowReports] : fleet.backend.reports)
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, windowReports.size());
     }
 
-    void countsOutliveTheirGateway()
+    void countsSurviveAKilledGateway()
     {
         Fleet fleet;
         fleet.call(2);
         fleet.advance(UsageLink::reportInterval * 2);
-        fleet.nodes[0]->die();
+        fleet.nodes[0]->kill();
         fleet.advance(window * 2);
         CPPUNIT_ASSERT_EQUAL(6U, fleet.reported("t"));
     }
 
-    void stoppingGatewayTellsItsLastCounts()
+    void stoppingGatewaySendsItsLastCounts()
     {
         Fleet fleet;
         fleet.call(2);
         fleet.nodes[0]->link.stop();
-        fleet.nodes[0]->die();
+        fleet.nodes[0]->kill();
         fleet.advance(window * 2);
         CPPUNIT_ASSERT_EQUAL(6U, fleet.reported("t"));
     }
 
-    void nextInRankTakesOverFromADeadHolder()
+    void nextCandidateTakesOverFromAKilledHolder()
     {
         Fleet fleet;
         fleet.call(1);
@@ -267,48 +270,48 @@
         CPPUNIT_ASSERT(first != nullptr);
         fleet.call(1);
         fleet.advance(UsageLink::reportInterval * 2);
-        first->die();
+        first->kill();
         fleet.advance(window + seconds(8));
         CPPUNIT_ASSERT(fleet.holder() != nullptr);
         CPPUNIT_ASSERT_EQUAL(6U, fleet.reported("t"));
-        CPPUNIT_ASSERT_EQUAL(FencingToken{2}, fleet.world.stored->record.token);
+        CPPUNIT_ASSERT_EQUAL(FencingToken{2}, fleet.backend.stored->record.token);
     }
 
-    void lostAnswersOfTheStoreChangeNoReport()
+    void lostRepliesOfTheStoreChangeNoReport()
     {
         Fleet fleet;
         fleet.call(1);
-        fleet.world.losesAnswers = true;
+        fleet.backend.losesReplies = true;
         fleet.advance(window + seconds(1));
-        fleet.world.losesAnswers = false;
+        fleet.backend.losesReplies = false;
         fleet.advance(window);
         CPPUNIT_ASSERT_EQUAL(3U, fleet.reported("t"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.world.taken.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.backend.reports.size());
     }
 
-    void windowsAreMadeUpForAfterAnOutage()
+    void windowsAreReportedAfterAnOutage()
     {
         Fleet fleet;
         fleet.call(1);
         fleet.advance(window + seconds(1));
-        fleet.world.isStoreDown = true;
+        fleet.backend.isStoreDown = true;
         fleet.call(2);
         fleet.advance(window);
         fleet.call(3);
         fleet.advance(window);
-        fleet.world.isStoreDown = false;
+        fleet.backend.isStoreDown = false;
         fleet.advance(seconds(6));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fleet.world.taken.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fleet.backend.reports.size());
         CPPUNIT_ASSERT_EQUAL(18U, fleet.reported("t"));
     }
 
-    void holderThatThePlatformTurnsAwayGivesWay()
+    void holderRefusedByThePlatformIsReplaced()
     {
         Fleet fleet;
         fleet.call(1);
         fleet.advance(window + seconds(1));
         Node *first = fleet.holder();
-        fleet.world.turnedAway.insert(first->state.vm());
+        fleet.backend.refused.insert(first->state.vm());
         fleet.call(1);
         fleet.advance(window * 2);
         fleet.call(1);
@@ -317,12 +320,12 @@
         CPPUNIT_ASSERT_EQUAL(9U, fleet.reported("t"));
     }
 
-    void offNothingIsCalled()
+    void disabledLinkMakesNoCalls()
     {
         Fleet fleet(false);
         fleet.call(1);
         fleet.advance(window * 2);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.world.calls);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.backend.calls);
     }
 };
 
