--- a/src/reachlead-gateway/gatewaydaemon.cpp
+++ b/src/reachlead-gateway/gatewaydaemon.cpp
@@ -22,21 +22,23 @@
 
 namespace asio = boost::asio;
 
-/// Between looks at what is due: removals held back, idle connections past their limit.
+/// Interval of periodic work, such as delayed removals and the expiry of idle connections.
 constexpr Duration tickInterval = milliseconds(250);
 
-/// From the order to stop until the last accept: the balancer asks each second, and takes a VM out
-/// after two answers in a row that are not 200. What is taken later might not end before the limit.
-constexpr Duration stopNotice = milliseconds(2700);
+/// Time from the stop signal until the last accept. The load balancer checks readiness once a
+/// second and removes a VM after two consecutive answers other than 200. Calls accepted later might
+/// not end before the time limit.
+constexpr Duration stopNoticePeriod = milliseconds(2700);
 
-/// From the end of the calls that are left until the process ends: their answers are on the way.
-constexpr Duration lastAnswers = milliseconds(150);
+/// Time from the termination of the remaining calls until the process exits, to deliver their
+/// answers.
+constexpr Duration finalAnswerPeriod = milliseconds(150);
 
-/// Part of the stop's limit after which what is left is cut, so that callers are told by an end
-/// rather than by the kill.
-constexpr double stopPart = 0.94;
+/// Fraction of the stop's time limit after which the remaining calls are terminated, so that their
+/// callers get an error answer before the process is killed.
+constexpr double terminationFraction = 0.94;
 
-constexpr Duration stopLook = milliseconds(50); ///< between looks whether all work has ended
+constexpr Duration stopCheckInterval = milliseconds(50); ///< for the end of all calls
 
 GatewayPeers::Options peerOptions(const GatewaySettings &settings, Counters *counters)
 {
@@ -66,35 +68,36 @@
                              Reload reload)
     : m_settings(settings), m_headerCodec(headerCodec), m_signals(m_io, SIGTERM, SIGINT, SIGHUP),
       m_state(settings.state),
-      m_shared{m_io,       m_state,     headerCodec,
-               m_counters, m_latencies, ConnectionPool(m_io.get_executor())},
-      m_forwarder(settings.forwarder, m_shared),
+      m_context{m_io,       m_state,     headerCodec,
+                m_counters, m_latencies, ConnectionPool(m_io.get_executor())},
+      m_forwarder(settings.forwarder, m_context),
       m_peers(m_io, peerOptions(settings, &m_counters), m_state),
-      m_crashes(m_state, m_peers, &m_counters,
-                [this](const QuarantinedRequest &request) { m_source->publish(request); }),
-      m_crashWatch(m_io, m_shared.pool, m_state, m_counters,
-                   [this](const RequestDigest &request, const UpstreamId &upstream) {
-                       m_crashes.upstreamCrashed(request, upstream);
-                   }),
-      m_placement(m_io, placementOptions(settings, &m_counters), m_state, m_peers),
-      m_usage(m_io, usageOptions(settings, &m_counters), m_peers, usagePlatform(m_io)),
-      m_ready(m_io, settings.ready,
-              [this](HttpRequest ask) { return answerReady(std::move(ask)); }),
-      m_operators(m_io, settings.operators,
-                  [this](HttpRequest ask) { return answerOperator(std::move(ask)); }),
+      m_crashLink(m_state, m_peers, &m_counters,
+                  [this](const QuarantinedRequest &request) { m_source->publish(request); }),
+      m_crashDetector(m_io, m_context.pool, m_state, m_counters,
+                      [this](const RequestDigest &request, const UpstreamId &upstream) {
+                          m_crashLink.upstreamCrashed(request, upstream);
+                      }),
+      m_placementLink(m_io, placementOptions(settings, &m_counters), m_state, m_peers),
+      m_usageLink(m_io, usageOptions(settings, &m_counters), m_peers, usagePlatform(m_io)),
+      m_readyServer(m_io, settings.ready,
+                    [this](HttpRequest request) { return handleReady(std::move(request)); }),
+      m_operatorServer(m_io, settings.operators,
+                       [this](HttpRequest request) { return handleOperator(std::move(request)); }),
       m_source(source(m_io, &m_counters)), m_reload(std::move(reload))
 {
     (void)std::signal(SIGPIPE, SIG_IGN);
-    m_shared.selector = &m_placement;
-    m_shared.crashDetector = &m_crashWatch;
-    m_shared.onRequestCleared = [this](const RequestDigest &request) {
-        m_crashes.requestCompleted(request);
+    m_context.selector = &m_placementLink;
+    m_context.crashDetector = &m_crashDetector;
+    m_context.onRequestCleared = [this](const RequestDigest &request) {
+        m_crashLink.requestCompleted(request);
     };
-    m_shared.onExecutionStarted = [this](const AccountName &account) {
-        m_usage.callStarted(account);
+    m_context.onExecutionStarted = [this](const AccountName &account) {
+        m_usageLink.callStarted(account);
     };
-    m_state.onUpstreamsWithdrawn([this](const std::vector<UpstreamId> &left) {
-        std::ranges::for_each(left, [this](const UpstreamId &id) { m_shared.pool.closeIdle(id); });
+    m_state.onUpstreamsWithdrawn([this](const std::vector<UpstreamId> &withdrawn) {
+        std::ranges::for_each(withdrawn,
+                              [this](const UpstreamId &id) { m_context.pool.closeIdle(id); });
     });
     m_state.onChange([this] { m_peers.announce(); });
     m_source->start(&m_state, m_peers.self());
@@ -109,8 +112,8 @@
         .with("vm", m_settings.state.vm.text)
         .with("zone", m_settings.state.zone.text)
         .with("callers", m_forwarder.port())
-        .with("ready", m_ready.port())
-        .with("operators", m_operators.port())
+        .with("ready", m_readyServer.port())
+        .with("operators", m_operatorServer.port())
         .with("peers", m_peers.port())
         .with("store", m_settings.store.text())
         .with("seeds", m_settings.peers.seeds.size());
@@ -122,25 +125,25 @@
 {
     while (true) {
         boost::system::error_code ec;
-        const int got =
+        const int signalNumber =
             co_await m_signals.async_wait(asio::redirect_error(asio::use_awaitable, ec));
         if (ec)
             co_return;
-        if (got == SIGHUP) {
+        if (signalNumber == SIGHUP) {
             applyReload();
             continue;
         }
         LogLine(LogLevel::Info, "stop")
-            .with("signal", got)
+            .with("signal", signalNumber)
             .with("open_connections", m_forwarder.openConnections())
-            .with("repeated", m_shared.stopping);
-        if (!m_shared.stopping)
-            asio::co_spawn(m_io, stopOrderly(), asio::detached);
-        m_shared.stopping = true;
+            .with("repeated", m_context.stopping);
+        if (!m_context.stopping)
+            asio::co_spawn(m_io, stopGracefully(), asio::detached);
+        m_context.stopping = true;
     }
 }
 
-/// Takes over what may change while calls are at work; addresses need a restart.
+/// Applies the settings that can change at run time; addresses need a restart.
 void GatewayDaemon::applyReload()
 {
     const auto settings = m_reload();
@@ -153,24 +156,26 @@
     setLogLevel(static_cast<LogLevel>(settings->logLevel));
 }
 
-asio::awaitable<void> GatewayDaemon::stopOrderly()
+asio::awaitable<void> GatewayDaemon::stopGracefully()
 {
-    const Time began = RuntimeClock::now();
-    const Time limit = began + fromSeconds(toSeconds(m_settings.stopLimit) * stopPart);
+    const Time startedAt = RuntimeClock::now();
+    const Time limit =
+        startedAt + fromSeconds(toSeconds(m_settings.stopLimit) * terminationFraction);
     m_forwarder.beginStop();
-    m_placement.beginStop();
-    co_await sleepFor(m_io, std::min<Duration>(stopNotice, limit - began));
+    m_placementLink.beginStop();
+    co_await sleepFor(m_io, std::min<Duration>(stopNoticePeriod, limit - startedAt));
     m_forwarder.closeIdle();
     while (m_forwarder.openConnections() > 0 && RuntimeClock::now() < limit)
-        co_await sleepFor(m_io, stopLook);
-    const std::size_t cut = m_forwarder.openConnections();
+        co_await sleepFor(m_io, stopCheckInterval);
+    const std::size_t remaining = m_forwarder.openConnections();
     m_forwarder.terminateCalls();
-    if (cut > 0)
-        co_await sleepFor(m_io, lastAnswers);
+    if (remaining > 0)
+        co_await sleepFor(m_io, finalAnswerPeriod);
     m_forwarder.abortAll();
-    LogLine(cut > 0 ? LogLevel::Warn : LogLevel::Info, "stopped").with("connections_cut", cut);
+    LogLine(remaining > 0 ? LogLevel::Warn : LogLevel::Info, "stopped")
+        .with("connections_cut", remaining);
     m_source->stop();
-    m_usage.stop();
+    m_usageLink.stop();
     m_peers.stop();
     m_io.stop();
 }
@@ -179,59 +184,59 @@
 {
     while (true) {
         m_state.tick();
-        m_shared.pool.closeExpired();
-        followPlatform();
-        const bool ready = m_state.isReady() && !m_shared.stopping;
-        if (std::exchange(m_lastReady, ready) != ready)
+        m_context.pool.closeExpired();
+        updateWatching();
+        const bool ready = m_state.isReady() && !m_context.stopping;
+        if (std::exchange(m_wasReady, ready) != ready)
             LogLine(LogLevel::Info, ready ? "ready" : "not-ready")
                 .with("config_version", m_state.configVersion())
                 .with("upstreams", m_state.directory().entries().size());
         m_counters.set(Gauge::SettingsVersion, static_cast<std::int64_t>(m_state.configVersion()));
-        m_counters.set(Gauge::Draining, m_shared.stopping ? 1 : 0);
+        m_counters.set(Gauge::Draining, m_context.stopping ? 1 : 0);
         co_await sleepFor(m_io, tickInterval);
     }
 }
 
-/// Takes or gives up the duty to watch the store, and what comes with it.
-void GatewayDaemon::followPlatform()
+/// Starts or stops watching the store, and publishes the roster when this gateway must write it.
+void GatewayDaemon::updateWatching()
 {
-    const std::set<VmName> heard = m_peers.livePeers();
-    const bool watches = m_state.shouldWatch(heard);
-    m_source->setWatching(watches);
+    const std::set<VmName> livePeers = m_peers.livePeers();
+    const bool isWatcher = m_state.shouldWatch(livePeers);
+    m_source->setWatching(isWatcher);
     m_source->setServedByPeers(m_state.isReady() && m_state.isConfirmed());
     const Time now = RuntimeClock::now();
-    if (!watches || !m_roster.isCheckDue(now))
+    if (!isWatcher || !m_rosterPublisher.isCheckDue(now))
         return;
     Roster known;
     for (const GatewayEntry &entry : m_state.roster().gateways)
         known.emplace(entry.vm, entry);
-    const auto roster = m_roster.rosterToWrite(known, m_peers.liveGateways(),
-                                               rendezvousPosition(m_state.vm(), heard), now);
+    const auto roster = m_rosterPublisher.rosterToWrite(
+        known, m_peers.liveGateways(), rendezvousPosition(m_state.vm(), livePeers), now);
     if (!roster)
         return;
-    GatewayRoster made{m_state.roster().revision, {}};
-    std::ranges::copy(*roster | std::views::values, std::back_inserter(made.gateways));
-    m_source->publish(std::move(made));
+    GatewayRoster published{m_state.roster().revision, {}};
+    std::ranges::copy(*roster | std::views::values, std::back_inserter(published.gateways));
+    m_source->publish(std::move(published));
 }
 
-asio::awaitable<HttpResponse> GatewayDaemon::answerReady(HttpRequest ask)
+asio::awaitable<HttpResponse> GatewayDaemon::handleReady(HttpRequest request)
 {
-    HttpResponse reply;
-    if (ask.pathOnly() != m_headerCodec.readyPath())
-        reply.status = 404;
-    else if (!m_state.isReady() || m_shared.stopping)
-        reply.status = 503;
-    co_return reply;
+    HttpResponse response;
+    if (request.pathOnly() != m_headerCodec.readyPath())
+        response.status = 404;
+    else if (!m_state.isReady() || m_context.stopping)
+        response.status = 503;
+    co_return response;
 }
 
-asio::awaitable<HttpResponse> GatewayDaemon::answerOperator(HttpRequest ask)
+asio::awaitable<HttpResponse> GatewayDaemon::handleOperator(HttpRequest request)
 {
-    HttpResponse reply;
-    if (ask.pathOnly() == "/metrics")
-        reply.body = m_counters.page() + m_latencies.prometheusText();
+    HttpResponse response;
+    if (request.pathOnly() == "/metrics")
+        response.body = m_counters.page() + m_latencies.prometheusText();
     else
-        reply.status = 404;
-    co_return reply;
+        response.status = 404;
+    co_return response;
 }
 
 } // namespace reachlead
--- a/src/reachlead-gateway/gatewaydaemon.h
+++ b/src/reachlead-gateway/gatewaydaemon.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The gateway process: one thread for all traffic, one that writes the log.
+/// The gateway process: one thread for all traffic, and one that writes the log.
 
 #pragma once
 
@@ -26,8 +26,9 @@
 
 namespace reachlead {
 
-/// Owns all parts. Processor time is dear on entry VMs, so callers, upstreams, peers and the
-/// platform share one thread: a call crosses no ring and wakes no other thread.
+/// Owns all components of the gateway. As processor time is scarce on entry VMs, one thread serves
+/// callers, upstreams, peers and the platform: no call is passed through a ring buffer or wakes
+/// another thread.
 class GatewayDaemon
 {
 public:
@@ -41,16 +42,17 @@
                   const SourceFactory &source, const UsagePlatformFactory &usagePlatform,
                   Reload reload);
 
-    /// Serves until it is told to stop, and then until all work has ended.
+    /// Serves until a stop signal, and then until the calls in progress have ended or the time
+    /// limit for the stop is reached.
     void run();
 
 private:
     boost::asio::awaitable<void> signalLoop();
     boost::asio::awaitable<void> tickLoop();
-    boost::asio::awaitable<void> stopOrderly();
-    void followPlatform();
-    boost::asio::awaitable<HttpResponse> answerReady(HttpRequest ask);
-    boost::asio::awaitable<HttpResponse> answerOperator(HttpRequest ask);
+    boost::asio::awaitable<void> stopGracefully();
+    void updateWatching();
+    boost::asio::awaitable<HttpResponse> handleReady(HttpRequest request);
+    boost::asio::awaitable<HttpResponse> handleOperator(HttpRequest request);
     void applyReload();
 
     GatewaySettings m_settings;
@@ -60,19 +62,19 @@
     Counters m_counters;
     LatencyHistograms m_latencies;
     GatewayState m_state;
-    ForwardContext m_shared;
+    ForwardContext m_context;
     Forwarder m_forwarder;
     GatewayPeers m_peers;
-    CrashLink m_crashes;
-    CrashDetector m_crashWatch;
-    PlacementLink m_placement;
-    UsageLink m_usage;
-    HttpServer m_ready;
-    HttpServer m_operators;
+    CrashLink m_crashLink;
+    CrashDetector m_crashDetector;
+    PlacementLink m_placementLink;
+    UsageLink m_usageLink;
+    HttpServer m_readyServer;
+    HttpServer m_operatorServer;
     std::unique_ptr<FleetSource> m_source;
     Reload m_reload;
-    RosterPublisher m_roster;
-    bool m_lastReady = false;
+    RosterPublisher m_rosterPublisher;
+    bool m_wasReady = false;
 };
 
 } // namespace reachlead
--- a/src/reachlead-gateway/gatewaysettings.cpp
+++ b/src/reachlead-gateway/gatewaysettings.cpp
@@ -16,23 +16,24 @@
 
 namespace {
 
-/// Descriptors left for the store, peers, files and idle connections to upstreams.
-constexpr std::int64_t descriptorsKept = 800;
-constexpr std::int64_t fewestConnections = 64;
+/// File descriptors reserved for the store, peers, files and idle connections to upstreams.
+constexpr std::int64_t reservedDescriptors = 800;
+constexpr std::int64_t minConnections = 64;
 
-/// Memory that a caller's connection may take: what is read ahead and a request of usual size.
+/// Connections per MB of memory: a caller's connection needs its read buffer and a request of usual
+/// size.
 constexpr std::int64_t connectionsPerMb = 16;
 
-/// Takes several endpoints out of one section; the first fault, if any.
-std::optional<std::string> takeEndpoints(const IniFile &file, IniReader &reader,
+/// Reads several endpoints from one section. Returns the first error, if any.
+std::optional<std::string> readEndpoints(const IniFile &file, IniReader &reader,
                                          std::string_view section,
                                          const std::vector<std::pair<std::string, Endpoint *>> &all)
 {
     std::vector<std::string> texts(all.size());
     for (std::size_t n = 0; n < all.size(); ++n)
         reader.require(all[n].first).takeText(all[n].first, &texts[n]);
-    if (auto fault = reader.finish())
-        return fault;
+    if (auto error = reader.finish())
+        return error;
     for (std::size_t n = 0; n < all.size(); ++n) {
         const auto endpoint = Endpoint::parse(texts[n]);
         if (!endpoint)
@@ -54,13 +55,13 @@
         &GatewaySettings::readPlacement, &GatewaySettings::readUsage,
         &GatewaySettings::readStop,      &GatewaySettings::readLogSection,
         &GatewaySettings::readRegions};
-    if (auto fault = unknownSection(file,
+    if (auto error = unknownSection(file,
                                     {"gateway", "peers", "operators", "store", "placement",
                                      "retries", "usage", "stop", "log", "regions"}))
-        return fault;
+        return error;
     for (const Reader reader : readers) {
-        if (auto fault = (this->*reader)(file))
-            return fault;
+        if (auto error = (this->*reader)(file))
+            return error;
     }
     return std::nullopt;
 }
@@ -76,17 +77,17 @@
         .takeInteger("descriptors", 256, 1'000'000, &descriptors)
         .takeNumber("cores", 0.0, 1024.0, &cores)
         .takeFlag("follow_evacuations", &state.followsEvacuations);
-    const std::int64_t byMemory = memoryMb / 2 * connectionsPerMb;
-    const std::int64_t most =
-        std::max(fewestConnections, std::min(byMemory, descriptors - descriptorsKept));
-    forwarder.maxConnections = static_cast<std::size_t>(most);
+    const std::int64_t memoryLimit = memoryMb / 2 * connectionsPerMb;
+    const std::int64_t connectionLimit =
+        std::max(minConnections, std::min(memoryLimit, descriptors - reservedDescriptors));
+    forwarder.maxConnections = static_cast<std::size_t>(connectionLimit);
     peers.self.vm = state.vm;
     peers.self.cores = static_cast<MilliCores>(cores * 1000.0);
-    return takeEndpoints(file, reader, "gateway",
+    return readEndpoints(file, reader, "gateway",
                          {{"listen", &forwarder.listen}, {"ready", &ready}});
 }
 
-/// Each key is an availability zone, its value the region that the zone is in.
+/// Each key is an availability zone, and its value the region of the zone.
 std::optional<std::string> GatewaySettings::readRegions(const IniFile &file)
 {
     const auto section = file.sections().find("regions");
@@ -98,7 +99,8 @@
     return reader.finish();
 }
 
-/// Seeds may carry the port of another interface: their peers listen on `port`.
+/// The port of a seed may be that of another interface and is replaced by `port`, on which peers
+/// listen.
 std::optional<std::string> GatewaySettings::readPeers(const IniFile &file)
 {
     std::vector<std::string> seeds;
@@ -119,8 +121,8 @@
         reader.takeList("seeds", &seeds);
     if (reader.has("keys"))
         reader.takeList("keys", &keys);
-    if (auto fault = takeEndpoints(file, reader, "peers", {{"address", &peers.self.address}}))
-        return fault;
+    if (auto error = readEndpoints(file, reader, "peers", {{"address", &peers.self.address}}))
+        return error;
     if (!keys.empty()) {
         std::string reason;
         const auto parsed = FleetKeys::parse(fmt::format("{}", fmt::join(keys, "\n")), &reason);
@@ -150,16 +152,16 @@
 std::optional<std::string> GatewaySettings::readAddresses(const IniFile &file)
 {
     IniReader operatorsReader(file, "operators");
-    if (auto fault = takeEndpoints(file, operatorsReader, "operators", {{"listen", &operators}}))
-        return fault;
+    if (auto error = readEndpoints(file, operatorsReader, "operators", {{"listen", &operators}}))
+        return error;
     IniReader storeReader(file, "store");
-    return takeEndpoints(file, storeReader, "store", {{"address", &store}});
+    return readEndpoints(file, storeReader, "store", {{"address", &store}});
 }
 
 std::optional<std::string> GatewaySettings::readPlacement(const IniFile &file)
 {
-    constexpr double longest = 600'000.0; // ms; ten minutes is past any deadline
-    constexpr double largest = 1e6;
+    constexpr double maxMs = 600'000.0; // ms; ten minutes exceeds any deadline
+    constexpr double maxValue = 1e6;
     UpstreamTable::Costs &costs = state.costs;
     auto shortPrompt = static_cast<std::int64_t>(costs.maxShortPromptTokens);
     auto strategy = static_cast<std::size_t>(costs.strategy);
@@ -168,21 +170,21 @@
     double reportMs = toMillis(placement.reportInterval);
     double holdMs = toMillis(placement.lessUrgentHold);
     IniReader reader(file, "placement");
-    reader.takeNumber("tokens_per_ms", 0.001, largest, &costs.tokensPerMs)
-        .takeNumber("per_running_ms", 0.0, longest, &costs.perRunningRequest)
-        .takeNumber("per_queued_ms", 0.0, longest, &costs.perQueuedRequest)
-        .takeNumber("other_zone_ms", 0.0, longest, &costs.crossZone)
-        .takeNumber("reread_factor", 0.0, largest, &costs.recomputeFactor)
-        .takeNumber("fetch_setup_ms", 0.0, longest, &costs.fetchSetup)
-        .takeNumber("fetch_per_kilotoken_ms", 0.0, longest, &costs.fetchPerKiloToken)
+    reader.takeNumber("tokens_per_ms", 0.001, maxValue, &costs.tokensPerMs)
+        .takeNumber("per_running_ms", 0.0, maxMs, &costs.perRunningRequest)
+        .takeNumber("per_queued_ms", 0.0, maxMs, &costs.perQueuedRequest)
+        .takeNumber("other_zone_ms", 0.0, maxMs, &costs.crossZone)
+        .takeNumber("reread_factor", 0.0, maxValue, &costs.recomputeFactor)
+        .takeNumber("fetch_setup_ms", 0.0, maxMs, &costs.fetchSetup)
+        .takeNumber("fetch_per_kilotoken_ms", 0.0, maxMs, &costs.fetchPerKiloToken)
         .takeNumber("quiet_part", 0.0, 0.5, &costs.dedicated.minShare)
         .takeNumber("quiet_fill", 0.01, 1.0, &costs.dedicated.targetUtilization)
-        .takeNumber("quiet_backlog_ms", 1.0, longest, &costs.dedicated.backlogPerEngineMs)
-        .takeNumber("per_paused_ms", 0.0, longest, &costs.perStalledStream)
+        .takeNumber("quiet_backlog_ms", 1.0, maxMs, &costs.dedicated.backlogPerEngineMs)
+        .takeNumber("per_paused_ms", 0.0, maxMs, &costs.perStalledStream)
         .takeInteger("short_prompt", 0, 1'000'000'000, &shortPrompt)
-        .takeNumber("short_outside_ms", 0.0, longest, &costs.shortOutsideDedicated)
-        .takeNumber("long_in_quiet_ms", 0.0, longest, &costs.longInDedicated)
-        .takeNumber("other_group_ms", 0.0, longest, &costs.crossGroup)
+        .takeNumber("short_outside_ms", 0.0, maxMs, &costs.shortOutsideDedicated)
+        .takeNumber("long_in_quiet_ms", 0.0, maxMs, &costs.longInDedicated)
+        .takeNumber("other_group_ms", 0.0, maxMs, &costs.crossGroup)
         .takeFlag("group_scheduler", &placement.isEnabled)
         .takeFlag("group_scheduler_for_plain", &placement.schedulesPlainCalls)
         .takeInteger("group_size", 1, 1'000'000, &groupSize)
@@ -215,7 +217,7 @@
     return reader.finish();
 }
 
-/// The duty is off unless `duties` names it.
+/// Usage reporting is disabled unless `duties` contains it.
 std::optional<std::string> GatewaySettings::readUsage(const IniFile &file)
 {
     constexpr std::string_view duty = "usage";
@@ -231,7 +233,7 @@
     usage.isEnabled = std::ranges::find(duties, duty) != duties.end();
     usage.window = fromSeconds(windowSeconds);
     usage.lease = fromSeconds(leaseMs / 1000.0);
-    return takeEndpoints(file, reader, "usage", {{"api", &usageApi}});
+    return readEndpoints(file, reader, "usage", {{"api", &usageApi}});
 }
 
 std::optional<std::string> GatewaySettings::readStop(const IniFile &file)
--- a/src/reachlead-gateway/gatewaysettings.h
+++ b/src/reachlead-gateway/gatewaysettings.h
@@ -27,17 +27,17 @@
     GatewayPeers::Options peers;
     PlacementLink::Options placement;
     UsageLink::Options usage;
-    Endpoint usageApi; ///< takes the reports of usage
-    Endpoint ready; ///< where the balancer asks whether new connections may come
-    Endpoint operators; ///< counters and histograms
+    Endpoint usageApi; ///< receives the usage reports
+    Endpoint ready; ///< serves the load balancer's readiness checks
+    Endpoint operators; ///< serves counters and histograms
     Endpoint store; ///< of configuration and registry
-    std::int64_t memoryMb = 128; ///< that the process may use
-    double cores = 0; ///< of a processor, that the process may use; 0: not told
+    std::int64_t memoryMb = 128; ///< available to the process
+    double cores = 0; ///< processor cores available to the process; 0: unknown
     std::int64_t descriptors = 1024; ///< that the process may open
-    Duration stopLimit = seconds(8); ///< from the order to stop until the process is killed
+    Duration stopLimit = seconds(8); ///< from the stop signal until the process is killed
     std::size_t logLevel = 1;
 
-    /// Fills in what the file says; the first fault, if any.
+    /// Reads the settings from a file. Returns the first error, if any.
     std::optional<std::string> read(const IniFile &file);
 
 private:
--- a/src/reachlead-gateway/main.cpp
+++ b/src/reachlead-gateway/main.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The gateway: forwards callers' requests to upstreams by the platform's configuration.
+/// The gateway: forwards callers' requests to upstreams according to the platform's configuration.
 
 #include <fstream>
 #include <sstream>
@@ -35,11 +35,11 @@
         text << in.rdbuf();
         std::string reason = "the file cannot be read";
         const auto file = in ? IniFile::parse(text.str(), path, &reason) : std::nullopt;
-        GatewaySettings fresh;
-        const auto fault = file ? fresh.read(*file) : std::optional(reason);
-        if (!fault)
-            return fresh;
-        LogLine(LogLevel::Error, "settings-refused").with("reason", *fault);
+        GatewaySettings reloaded;
+        const auto error = file ? reloaded.read(*file) : std::optional(reason);
+        if (!error)
+            return reloaded;
+        LogLine(LogLevel::Error, "settings-refused").with("reason", *error);
         return std::nullopt;
     };
     const auto source = [&](boost::asio::io_context &io,
