--- a/src/caller/callerconnection.cpp
+++ b/src/caller/callerconnection.cpp
@@ -26,7 +26,7 @@
 
 namespace {
 
-constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
+constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
 constexpr std::string_view idHeader = "Reachlead-Request-Id";
 constexpr std::string_view outcomeHeader = "Reachlead-Outcome";
@@ -40,8 +40,8 @@
 } // namespace
 
 CallerConnection::CallerConnection(CallerServer &server, asio::ip::tcp::socket socket)
-    : m_server(server), m_socket(std::move(socket)), m_limit(m_socket.get_executor()),
-      m_signal(m_socket.get_executor())
+    : m_server(server), m_socket(std::move(socket)), m_deadline(m_socket.get_executor()),
+      m_wakeup(m_socket.get_executor())
 {
     beast::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -53,8 +53,8 @@
 {
     --m_server.m_connectionCount;
     m_server.m_options.counters->adjust(Gauge::OpenConnections, -1);
-    if (!m_countedFor.empty() && --m_server.m_accountConnections[m_countedFor] <= 0)
-        m_server.m_accountConnections.erase(m_countedFor);
+    if (!m_countedAccount.empty() && --m_server.m_accountConnections[m_countedAccount] <= 0)
+        m_server.m_accountConnections.erase(m_countedAccount);
 }
 
 void CallerConnection::closeIfIdle()
@@ -65,14 +65,14 @@
     m_socket.close(ignored);
 }
 
-void CallerConnection::setLimit(Duration limit)
+void CallerConnection::setDeadline(Duration timeout)
 {
-    const std::uint64_t round = ++m_limitRound;
+    const std::uint64_t generation = ++m_deadlineGeneration;
     m_timedOut = false;
-    m_limit.expires_after(limit);
-    m_limit.async_wait([weak = weak_from_this(), round](boost::system::error_code ec) {
+    m_deadline.expires_after(timeout);
+    m_deadline.async_wait([weak = weak_from_this(), generation](boost::system::error_code ec) {
         const auto self = weak.lock();
-        if (ec || !self || self->m_limitRound != round)
+        if (ec || !self || self->m_deadlineGeneration != generation)
             return;
         self->m_timedOut = true;
         beast::error_code ignored;
@@ -80,10 +80,10 @@
     });
 }
 
-void CallerConnection::clearLimit()
+void CallerConnection::clearDeadline()
 {
-    ++m_limitRound;
-    m_limit.cancel();
+    ++m_deadlineGeneration;
+    m_deadline.cancel();
 }
 
 asio::awaitable<void> CallerConnection::run()
@@ -93,7 +93,7 @@
     while (more && !m_server.m_closing) {
         if (!co_await waitForRequest())
             break;
-        // From its first byte on, a request holds up a planned stop.
+        // A planned stop waits for a request from its first byte on.
         m_idle = false;
         ++m_server.m_busy;
         std::optional<Request> request = co_await readRequest();
@@ -101,39 +101,40 @@
         --m_server.m_busy;
         m_idle = true;
     }
-    clearLimit();
+    clearDeadline();
     beast::error_code ignored;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
-/// Waits for the first byte of the next request; false when none comes.
+/// Waits for the first byte of the next request. Returns false on a timeout or a disconnect.
 asio::awaitable<bool> CallerConnection::waitForRequest()
 {
     if (m_buffer.size() > 0)
         co_return true;
-    setLimit(m_server.m_options.idleTimeout);
-    const auto [ec] = co_await m_socket.async_wait(asio::socket_base::wait_read, quietly);
-    clearLimit();
+    setDeadline(m_server.m_options.idleTimeout);
+    const auto [ec] = co_await m_socket.async_wait(asio::socket_base::wait_read, asTuple);
+    clearDeadline();
     co_return !ec && !m_timedOut;
 }
 
-/// Reads one request. A wrong or slow one gets its answer here, and the connection ends.
+/// Reads one request. A malformed, too large or slow one is refused here, and the connection is
+/// closed.
 asio::awaitable<std::optional<CallerConnection::Request>> CallerConnection::readRequest()
 {
     http::request_parser<http::string_body> parser;
     parser.header_limit(m_server.m_options.maxHeaderBytes);
     parser.body_limit(m_server.m_options.maxBodyBytes);
-    setLimit(m_server.m_options.headerTimeout);
-    auto [ec, n] = co_await http::async_read_header(m_socket, m_buffer, parser, quietly);
+    setDeadline(m_server.m_options.headerTimeout);
+    auto [ec, n] = co_await http::async_read_header(m_socket, m_buffer, parser, asTuple);
     if (!ec) {
         if (toStringView(parser.get()[http::field::expect]) == "100-continue"
             && !co_await write("HTTP/1.1 100 Continue\r\n\r\n"))
             co_return std::nullopt;
-        setLimit(m_server.m_options.bodyTimeout);
-        const auto [bodyError, m] = co_await http::async_read(m_socket, m_buffer, parser, quietly);
+        setDeadline(m_server.m_options.bodyTimeout);
+        const auto [bodyError, m] = co_await http::async_read(m_socket, m_buffer, parser, asTuple);
         ec = bodyError;
     }
-    clearLimit();
+    clearDeadline();
     if (!ec)
         co_return parser.release();
     ErrorKind kind = ErrorKind::BadRequest;
@@ -145,7 +146,7 @@
         kind = ErrorKind::HeaderTooLarge;
     else if (ec == http::error::end_of_stream
              || ec.category() != http::make_error_code(http::error::bad_method).category())
-        co_return std::nullopt; // the connection ended; there is nobody to tell
+        co_return std::nullopt; // disconnected: there is no one to send an error to
     Refusal refusal{kind, ec.message()};
     co_await refuse(std::move(refusal), false);
     co_return std::nullopt;
@@ -156,25 +157,26 @@
     bool served = false;
     bool more = co_await servePage(request, &served);
     if (!served) {
-        Exchange taken;
-        Refusal refusal = admit(request, &taken);
+        Exchange admitted;
+        Refusal refusal = admit(request, &admitted);
         if (refusal.kind == ErrorKind::None)
-            more = co_await exchange(std::move(taken));
+            more = co_await exchange(std::move(admitted));
         else
             more = co_await refuse(std::move(refusal), request.keep_alive());
     }
     co_return more;
 }
 
-/// Serves the pages that need no upstream.
+/// Serves the paths that need no upstream.
 asio::awaitable<bool> CallerConnection::servePage(const Request &request, bool *served)
 {
     const std::string_view path = toStringView(request.target());
     *served = true;
     if (path == "/healthz") {
-        const bool well = !m_server.m_stopping && m_server.policies();
-        std::string body = well ? "ok\n" : "stopping or without settings\n";
-        co_return co_await writeWhole(well ? 200 : 503, {}, std::move(body), request.keep_alive());
+        const bool healthy = !m_server.m_stopping && m_server.policies();
+        std::string body = healthy ? "ok\n" : "stopping or without settings\n";
+        co_return co_await writeAnswer(healthy ? 200 : 503, {}, std::move(body),
+                                       request.keep_alive());
     }
     if (path == "/v1/models" && request.method() == http::verb::get) {
         const PoliciesPtr policies = m_server.policies();
@@ -182,7 +184,7 @@
         Exchange ignored;
         Refusal refusal{ErrorKind::SettingsAbsent, ""};
         if (policies)
-            refusal = identify(request, &ignored, *policies, &account);
+            refusal = authenticate(request, &ignored, *policies, &account);
         if (refusal.kind != ErrorKind::None)
             co_return co_await refuse(std::move(refusal), request.keep_alive());
         constexpr std::string_view prefix = "model:";
@@ -196,8 +198,8 @@
         }
         std::string body = fmt::format(R"({{"object":"list","data":[{}]}})", list);
         std::vector<Header> headers{{"Content-Type", "application/json"}};
-        co_return co_await writeWhole(200, std::move(headers), std::move(body),
-                                      request.keep_alive());
+        co_return co_await writeAnswer(200, std::move(headers), std::move(body),
+                                       request.keep_alive());
     }
     *served = false;
     co_return true;
@@ -208,43 +210,43 @@
 asio::awaitable<bool> CallerConnection::exchange(Exchange exchange)
 {
     const RequestId id = m_server.nextId();
-    exchange.ask.id = id;
-    exchange.head = exchange.ask.call.method == "HEAD";
-    if (!m_server.takePlace(exchange.tier)) {
-        const AnswerResult end{ErrorKind::OpenRequests, Outcome::NotRun, "", 0};
-        m_server.m_options.counters->refused(end.kind);
-        co_return co_await writeError(id, end, exchange.keepAlive);
+    exchange.callerRequest.id = id;
+    exchange.isHead = exchange.callerRequest.call.method == "HEAD";
+    if (!m_server.acquireSlot(exchange.tier)) {
+        const AnswerResult result{ErrorKind::OpenRequests, Outcome::NotRun, "", 0};
+        m_server.m_options.counters->refused(result.kind);
+        co_return co_await writeError(id, result, exchange.keepAlive);
     }
-    const auto slot = std::make_shared<AnswerChannel>(id);
-    slot->onReady = [weak = weak_from_this()] {
+    const auto channel = std::make_shared<AnswerChannel>(id);
+    channel->onReady = [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->m_signal.cancel();
+            self->m_wakeup.cancel();
     };
     bool more = false;
-    if (!m_server.m_hooks.submit(exchange.tier, exchange.ask, slot)) {
-        const AnswerResult end{ErrorKind::OpenRequests, Outcome::NotRun, "ring full", 0};
-        m_server.m_options.counters->refused(end.kind);
-        more = co_await writeError(id, end, exchange.keepAlive);
+    if (!m_server.m_hooks.submit(exchange.tier, exchange.callerRequest, channel)) {
+        const AnswerResult result{ErrorKind::OpenRequests, Outcome::NotRun, "ring full", 0};
+        m_server.m_options.counters->refused(result.kind);
+        more = co_await writeError(id, result, exchange.keepAlive);
     } else {
-        exchange.ask.call = Call(); // the copy handed over is the one that is used
-        m_gone = false;
-        watchForGone();
+        exchange.callerRequest.call = Call(); // the submitted copy is used from here on
+        m_disconnected = false;
+        watchForDisconnect();
         if (exchange.stream)
-            more = co_await streamAnswer(exchange, slot);
+            more = co_await streamAnswer(exchange, channel);
         else
-            more = co_await wholeAnswer(exchange, slot);
-        if (m_gone && slot->setDisconnected())
-            m_server.m_hooks.callerStateChanged(slot);
+            more = co_await sendFullAnswer(exchange, channel);
+        if (m_disconnected && channel->setDisconnected())
+            m_server.m_hooks.callerStateChanged(channel);
         beast::error_code ignored;
-        m_socket.cancel(ignored); // ends the watch
+        m_socket.cancel(ignored); // cancels watchForDisconnect()
     }
-    m_server.givePlace();
-    co_return more &&exchange.keepAlive && !m_gone && !m_server.m_closing;
+    m_server.releaseSlot();
+    co_return more &&exchange.keepAlive && !m_disconnected && !m_server.m_closing;
 }
 
-/// Sees the caller close its connection while it has a request in progress. A caller that closes
-/// only its sending side counts as gone too.
-void CallerConnection::watchForGone()
+/// Detects that the caller closes its connection while a request is in progress. A caller that
+/// closes only its sending side counts as disconnected, too.
+void CallerConnection::watchForDisconnect()
 {
     if (std::exchange(m_watching, true))
         return;
@@ -258,82 +260,84 @@
                             const std::size_t n = self->m_socket.receive(
                                 asio::buffer(&byte, 1), asio::socket_base::message_peek, peekError);
                             if (n > 0)
-                                return; // the next request came early; it waits
-                            self->m_gone = true;
-                            self->m_signal.cancel();
+                                return; // pipelined request: read after the current one
+                            self->m_disconnected = true;
+                            self->m_wakeup.cancel();
                         });
 }
 
-asio::awaitable<std::vector<CallerEvent>> CallerConnection::nextEvents(AnswerChannelPtr slot)
+asio::awaitable<std::vector<CallerEvent>> CallerConnection::nextEvents(AnswerChannelPtr channel)
 {
     for (;;) {
-        std::vector<CallerEvent> events = slot->take();
-        if (!events.empty() || m_gone)
+        std::vector<CallerEvent> events = channel->take();
+        if (!events.empty() || m_disconnected)
             co_return events;
-        m_signal.expires_at(Time::max());
-        co_await m_signal.async_wait(quietly);
+        m_wakeup.expires_at(Time::max());
+        co_await m_wakeup.async_wait(asTuple);
     }
 }
 
-void CallerConnection::tookTokens(const AnswerChannelPtr &slot, std::uint64_t tokens)
+void CallerConnection::reportConsumed(const AnswerChannelPtr &channel, std::uint64_t tokens)
 {
-    if (tokens > 0 && slot->addConsumed(tokens))
-        m_server.m_hooks.callerStateChanged(slot);
+    if (tokens > 0 && channel->addConsumed(tokens))
+        m_server.m_hooks.callerStateChanged(channel);
 }
 
 asio::awaitable<bool> CallerConnection::streamAnswer(const Exchange &exchange,
-                                                     AnswerChannelPtr slot)
+                                                     AnswerChannelPtr channel)
 {
-    const AnswerWriter writer(*exchange.completion, slot->id(), exchange.model);
-    bool begun = false;
+    const AnswerWriter writer(*exchange.completion, channel->id(), exchange.model);
+    bool headerSent = false;
     for (;;) {
-        const std::vector<CallerEvent> events = co_await nextEvents(slot);
-        if (m_gone)
+        const std::vector<CallerEvent> events = co_await nextEvents(channel);
+        if (m_disconnected)
             co_return false;
         std::string out;
         std::uint64_t tokens = 0;
-        const AnswerResult *end = nullptr;
+        const AnswerResult *result = nullptr;
         for (const CallerEvent &event : events) {
             if (const auto *text = std::get_if<AnswerText>(&event)) {
                 out += chunked(writer.chunk(text->text));
                 tokens += text->tokens;
             } else {
-                end = std::get_if<AnswerResult>(&event);
+                result = std::get_if<AnswerResult>(&event);
             }
         }
-        const bool whole = end && end->kind == ErrorKind::None;
-        if (end && !whole && !begun && out.empty())
-            co_return co_await writeError(slot->id(), *end, exchange.keepAlive);
-        if (whole)
-            out += chunked(writer.finish(end->tokens)) + "0\r\n\r\n";
-        else if (end) // an answer cut short: said in an event, and the last chunk never comes
+        const bool complete = result && result->kind == ErrorKind::None;
+        if (result && !complete && !headerSent && out.empty())
+            co_return co_await writeError(channel->id(), *result, exchange.keepAlive);
+        if (complete)
+            out += chunked(writer.finish(result->tokens)) + "0\r\n\r\n";
+        else if (result) // truncated answer: send an error event and no last chunk
             out += chunked(fmt::format(
-                "data: {}\n\n", errorJson(end->kind, end->outcome, slot->id(), end->reason)));
-        if (!begun)
+                "data: {}\n\n",
+                errorJson(result->kind, result->outcome, channel->id(), result->reason)));
+        if (!headerSent)
             out.insert(0,
                        fmt::format("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                                    "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n"
                                    "{}: {}\r\n\r\n",
-                                   idHeader, toString(slot->id())));
-        begun = true;
+                                   idHeader, toString(channel->id())));
+        headerSent = true;
         if (!co_await write(std::move(out))) {
-            m_gone = true;
+            m_disconnected = true;
             co_return false;
         }
-        tookTokens(slot, tokens);
-        if (end)
-            co_return whole;
+        reportConsumed(channel, tokens);
+        if (result)
+            co_return complete;
     }
 }
 
-asio::awaitable<bool> CallerConnection::wholeAnswer(const Exchange &exchange, AnswerChannelPtr slot)
+asio::awaitable<bool> CallerConnection::sendFullAnswer(const Exchange &exchange,
+                                                       AnswerChannelPtr channel)
 {
     std::string text;
-    std::optional<ServiceResponse> whole;
-    std::optional<AnswerResult> end;
-    while (!end) {
-        const std::vector<CallerEvent> events = co_await nextEvents(slot);
-        if (m_gone)
+    std::optional<ServiceResponse> response;
+    std::optional<AnswerResult> result;
+    while (!result) {
+        const std::vector<CallerEvent> events = co_await nextEvents(channel);
+        if (m_disconnected)
             co_return false;
         std::uint64_t tokens = 0;
         for (const CallerEvent &event : events) {
@@ -341,41 +345,42 @@
                 text += piece->text;
                 tokens += piece->tokens;
             } else if (const auto *answer = std::get_if<ServiceResponse>(&event)) {
-                whole = *answer;
+                response = *answer;
             } else {
-                end = std::get<AnswerResult>(event);
+                result = std::get<AnswerResult>(event);
             }
         }
-        tookTokens(slot, tokens);
+        reportConsumed(channel, tokens);
     }
-    if (end->kind != ErrorKind::None)
-        co_return co_await writeError(slot->id(), *end, exchange.keepAlive);
-    std::vector<Header> headers{{std::string(idHeader), toString(slot->id())},
-                                {std::string(outcomeHeader), std::string(toString(end->outcome))}};
+    if (result->kind != ErrorKind::None)
+        co_return co_await writeError(channel->id(), *result, exchange.keepAlive);
+    std::vector<Header> headers{
+        {std::string(idHeader), toString(channel->id())},
+        {std::string(outcomeHeader), std::string(toString(result->outcome))}};
     if (exchange.completion) {
-        const AnswerWriter writer(*exchange.completion, slot->id(), exchange.model);
+        const AnswerWriter writer(*exchange.completion, channel->id(), exchange.model);
         headers.push_back({"Content-Type", "application/json"});
-        co_return co_await writeWhole(200, std::move(headers), writer.fullAnswer(text, end->tokens),
-                                      exchange.keepAlive);
+        co_return co_await writeAnswer(200, std::move(headers),
+                                       writer.fullAnswer(text, result->tokens), exchange.keepAlive);
     }
-    std::ranges::copy_if(whole->headers, std::back_inserter(headers),
+    std::ranges::copy_if(response->headers, std::back_inserter(headers),
                          [](const Header &header) { return !isStrippedHeader(header.name); });
-    co_return co_await writeWhole(whole->status, std::move(headers), std::move(whole->body),
-                                  exchange.keepAlive, exchange.head);
+    co_return co_await writeAnswer(response->status, std::move(headers), std::move(response->body),
+                                   exchange.keepAlive, exchange.isHead);
 }
 
 // ---- writing ----------------------------------------------------------------------------
 
 asio::awaitable<bool> CallerConnection::write(std::string bytes)
 {
-    setLimit(m_server.m_options.writeTimeout);
-    const auto [ec, n] = co_await asio::async_write(m_socket, asio::buffer(bytes), quietly);
-    clearLimit();
+    setDeadline(m_server.m_options.writeTimeout);
+    const auto [ec, n] = co_await asio::async_write(m_socket, asio::buffer(bytes), asTuple);
+    clearDeadline();
     co_return !ec;
 }
 
-asio::awaitable<bool> CallerConnection::writeWhole(unsigned status, std::vector<Header> headers,
-                                                   std::string body, bool keepAlive, bool head)
+asio::awaitable<bool> CallerConnection::writeAnswer(unsigned status, std::vector<Header> headers,
+                                                    std::string body, bool keepAlive, bool isHead)
 {
     const bool keep = keepAlive && !m_server.m_closing;
     const auto reason = toStringView(http::obsolete_reason(static_cast<http::status>(status)));
@@ -384,36 +389,36 @@
         out += fmt::format("{}: {}\r\n", header.name, header.value);
     out += fmt::format("Content-Length: {}\r\nConnection: {}\r\n\r\n", body.size(),
                        keep ? "keep-alive" : "close");
-    if (!head)
+    if (!isHead)
         out += body;
     const bool written = co_await write(std::move(out));
     co_return written &&keep;
 }
 
-asio::awaitable<bool> CallerConnection::writeError(const RequestId &id, const AnswerResult &end,
+asio::awaitable<bool> CallerConnection::writeError(const RequestId &id, const AnswerResult &result,
                                                    bool keepAlive)
 {
-    const ErrorRow &row = errorRow(end.kind);
+    const ErrorRow &row = errorRow(result.kind);
     std::vector<Header> headers{{"Content-Type", "application/json"},
                                 {std::string(idHeader), toString(id)},
-                                {std::string(outcomeHeader), std::string(toString(end.outcome))},
+                                {std::string(outcomeHeader), std::string(toString(result.outcome))},
                                 {std::string(kindHeader), std::string(row.name)}};
     if (row.retryAfter)
         headers.push_back({"Retry-After", std::to_string(row.retryAfter->count())});
     LogLine(LogLevel::Info, "request-refused")
         .with("request", toString(id))
         .with("kind", row.name)
-        .with("outcome", toString(end.outcome))
-        .with("reason", end.reason);
-    std::string body = errorJson(end.kind, end.outcome, id, end.reason);
-    co_return co_await writeWhole(row.status, std::move(headers), std::move(body), keepAlive);
+        .with("outcome", toString(result.outcome))
+        .with("reason", result.reason);
+    std::string body = errorJson(result.kind, result.outcome, id, result.reason);
+    co_return co_await writeAnswer(row.status, std::move(headers), std::move(body), keepAlive);
 }
 
 asio::awaitable<bool> CallerConnection::refuse(Refusal refusal, bool keepAlive)
 {
     m_server.m_options.counters->refused(refusal.kind);
-    const AnswerResult end{refusal.kind, Outcome::NotRun, std::move(refusal.reason), 0};
-    co_return co_await writeError(m_server.nextId(), end, keepAlive);
+    const AnswerResult result{refusal.kind, Outcome::NotRun, std::move(refusal.reason), 0};
+    co_return co_await writeError(m_server.nextId(), result, keepAlive);
 }
 
 } // namespace reachlead
--- a/src/caller/callerconnection.h
+++ b/src/caller/callerconnection.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One connection of a caller: reads requests, writes answers, sees the caller go.
+/// One connection of a caller: reads requests, writes answers, and detects a disconnect.
 
 #pragma once
 
@@ -25,40 +25,40 @@
 
 class CallerServer;
 
-/// Lives on the caller's thread.
+/// Used on the caller's thread only.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
     CallerConnection(CallerServer &server, boost::asio::ip::tcp::socket socket);
     ~CallerConnection();
 
-    /// Serves requests until the connection ends.
+    /// Serves requests until the connection is closed.
     boost::asio::awaitable<void> run();
 
-    /// Ends the connection when no request is in progress.
+    /// Closes the connection if no request is in progress.
     void closeIfIdle();
 
 private:
     using Request = boost::beast::http::request<boost::beast::http::string_body>;
     template <class T> using Awaitable = boost::asio::awaitable<T>;
 
-    /// A refusal before a request became one.
+    /// Refusal of an HTTP request that was not admitted.
     struct Refusal
     {
         ErrorKind kind = ErrorKind::None;
         std::string reason;
     };
 
-    /// A request on its way to an answer.
+    /// An admitted request.
     struct Exchange
     {
-        CallerRequest ask;
+        CallerRequest callerRequest;
         Tier tier{};
-        std::optional<CompletionKind> completion; ///< none: a plain service's call
+        std::optional<CompletionKind> completion; ///< empty: a call to a plain service
         bool stream = false;
         std::string model;
         bool keepAlive = true;
-        bool head = false; ///< the method was HEAD: no body goes back
+        bool isHead = false; ///< the method is HEAD: the answer has no body
     };
 
     Awaitable<bool> waitForRequest();
@@ -66,38 +66,38 @@
     Awaitable<bool> serve(Request request);
     Awaitable<bool> servePage(const Request &request, bool *served);
     Awaitable<bool> exchange(Exchange exchange);
-    Awaitable<bool> streamAnswer(const Exchange &exchange, AnswerChannelPtr slot);
-    Awaitable<bool> wholeAnswer(const Exchange &exchange, AnswerChannelPtr slot);
-    Awaitable<std::vector<CallerEvent>> nextEvents(AnswerChannelPtr slot);
+    Awaitable<bool> streamAnswer(const Exchange &exchange, AnswerChannelPtr channel);
+    Awaitable<bool> sendFullAnswer(const Exchange &exchange, AnswerChannelPtr channel);
+    Awaitable<std::vector<CallerEvent>> nextEvents(AnswerChannelPtr channel);
     Awaitable<bool> write(std::string bytes);
-    Awaitable<bool> writeWhole(unsigned status, std::vector<Header> headers, std::string body,
-                               bool keepAlive, bool head = false);
-    Awaitable<bool> writeError(const RequestId &id, const AnswerResult &end, bool keepAlive);
+    Awaitable<bool> writeAnswer(unsigned status, std::vector<Header> headers, std::string body,
+                                bool keepAlive, bool isHead = false);
+    Awaitable<bool> writeError(const RequestId &id, const AnswerResult &result, bool keepAlive);
     Awaitable<bool> refuse(Refusal refusal, bool keepAlive);
 
     Refusal admit(const Request &request, Exchange *exchange);
-    Refusal identify(const Request &request, Exchange *exchange, const Policies &policies,
-                     const AccountPolicy **account);
+    Refusal authenticate(const Request &request, Exchange *exchange, const Policies &policies,
+                         const AccountPolicy **account);
     Refusal readTarget(const Request &request, Exchange *exchange);
     Refusal readClass(const Request &request, Exchange *exchange, const Policies &policies,
                       const AccountPolicy &account);
     bool countConnection(const AccountPolicy &account);
-    void tookTokens(const AnswerChannelPtr &slot, std::uint64_t tokens);
-    void watchForGone();
-    void setLimit(Duration limit);
-    void clearLimit();
+    void reportConsumed(const AnswerChannelPtr &channel, std::uint64_t tokens);
+    void watchForDisconnect();
+    void setDeadline(Duration timeout);
+    void clearDeadline();
 
     CallerServer &m_server;
     boost::asio::ip::tcp::socket m_socket;
     boost::beast::flat_buffer m_buffer;
-    Timer m_limit; ///< ends reads and writes that take too long
-    Timer m_signal; ///< cancelled when something happened to the request in progress
-    std::uint64_t m_limitRound = 0;
+    Timer m_deadline; ///< cancels reads and writes that take too long
+    Timer m_wakeup; ///< cancelled when the request in progress has events
+    std::uint64_t m_deadlineGeneration = 0;
     bool m_timedOut = false;
-    bool m_gone = false;
+    bool m_disconnected = false;
     bool m_idle = true;
     bool m_watching = false;
-    AccountName m_countedFor; ///< the account this connection counts against
+    AccountName m_countedAccount; ///< account whose connection limit counts this connection
 };
 
 } // namespace reachlead
--- a/src/caller/callerserver.cpp
+++ b/src/caller/callerserver.cpp
@@ -21,8 +21,9 @@
       m_acceptor(
           m_io,
           tcp::endpoint(asio::ip::make_address(m_options.listen.address), m_options.listen.port)),
-      m_port(m_acceptor.local_endpoint().port()),
-      m_ready(m_options.maxOpenRequests * 2, [this] { asio::post(m_io, [this] { takeReady(); }); })
+      m_port(m_acceptor.local_endpoint().port()), m_ready(m_options.maxOpenRequests * 2, [this] {
+          asio::post(m_io, [this] { handleReady(); });
+      })
 {
     m_acceptor.listen(asio::socket_base::max_listen_connections);
     m_thread = std::thread([this] { run(); });
@@ -62,42 +63,43 @@
                 m_io, [connection]() -> asio::awaitable<void> { co_await connection->run(); },
                 asio::detached);
         } else if (!ec) {
-            // Closed unread: nobody is known yet, so this bound cannot go by class.
+            // Closed unread: the account and its class are not known yet, so this bound cannot
+            // depend on the class.
             m_options.counters->refused(ErrorKind::OpenRequests);
         }
         accept();
     });
 }
 
-void CallerServer::notifyReady(AnswerChannelPtr slot)
+void CallerServer::notifyReady(AnswerChannelPtr channel)
 {
-    if (!m_ready.push(std::move(slot)))
+    if (!m_ready.push(std::move(channel)))
         m_options.counters->add(Counter::RingFull);
 }
 
-void CallerServer::takeReady()
+void CallerServer::handleReady()
 {
-    for (const AnswerChannelPtr &slot : m_ready.drain()) {
-        if (slot->onReady)
-            slot->onReady();
+    for (const AnswerChannelPtr &channel : m_ready.drain()) {
+        if (channel->onReady)
+            channel->onReady();
     }
 }
 
-/// Takes a place among the open requests. Each tier below the highest may fill a tenth less, so
-/// that lower tiers never hold the place a higher one needs.
-bool CallerServer::takePlace(Tier tier)
+/// Counts one more open request, if the tier's bound allows it. The bound decreases by a tenth for
+/// each tier below the highest, so that lower tiers cannot use up the capacity of higher ones.
+bool CallerServer::acquireSlot(Tier tier)
 {
     constexpr std::size_t parts = 10;
     const std::size_t bound = m_options.maxOpenRequests * (parts - indexOf(tier)) / parts;
-    if (m_open >= bound)
+    if (m_openRequests >= bound)
         return false;
-    ++m_open;
+    ++m_openRequests;
     return true;
 }
 
-void CallerServer::givePlace()
+void CallerServer::releaseSlot()
 {
-    --m_open;
+    --m_openRequests;
 }
 
 RequestId CallerServer::nextId()
--- a/src/caller/callerserver.h
+++ b/src/caller/callerserver.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The caller's thread of a router: HTTP/1.1 connections of client accounts.
+/// The caller's thread of a router: serves the HTTP/1.1 connections of client accounts.
 
 #pragma once
 
@@ -26,16 +26,16 @@
 
 class CallerConnection;
 
-/// Where requests go, and what the server asks about the fleet.
+/// Callbacks of the server into the dispatching thread.
 struct CallerHooks
 {
-    /// Hands a request over; false when there is no room for its tier.
+    /// Submits a request. Returns false when the queue of its tier is full.
     std::function<bool(Tier, CallerRequest, AnswerChannelPtr)> submit;
-    /// Has the other thread look at what the caller said.
+    /// Notifies the dispatching thread that the caller disconnected or consumed tokens.
     std::function<void(const AnswerChannelPtr &)> callerStateChanged;
 };
 
-/// Takes callers' requests. The public functions may be called from any thread.
+/// Accepts callers' connections. The public functions may be called from any thread.
 class CallerServer
 {
 public:
@@ -45,14 +45,13 @@
         Incarnation incarnation;
         Counters *counters = nullptr;
         std::size_t maxConnections = 20000;
-        std::size_t maxOpenRequests =
-            8192; ///< open requests; the lower tiers may fill less of them
+        std::size_t maxOpenRequests = 8192; ///< open requests; lower tiers are limited to a part
         std::uint32_t maxHeaderBytes = 16U << 10U;
         std::uint64_t maxBodyBytes = 1U << 20U;
         Duration headerTimeout = seconds(10);
         Duration bodyTimeout = seconds(30);
         Duration idleTimeout = seconds(75);
-        Duration writeTimeout = seconds(30); ///< a caller that takes nothing for so long is gone
+        Duration writeTimeout = seconds(30); ///< after which a stalled caller is disconnected
     };
 
     CallerServer(Options options, CallerHooks hooks);
@@ -60,19 +59,20 @@
 
     std::uint16_t port() const { return m_port; }
 
-    /// Tells this thread that a slot has events. Called by the dispatching thread.
-    void notifyReady(AnswerChannelPtr slot);
+    /// Notifies the caller's thread that a channel has events. Called by the dispatching thread.
+    void notifyReady(AnswerChannelPtr channel);
 
     void setPolicies(PoliciesPtr policies);
     void setTargets(std::vector<TargetName> targets);
 
-    /// Makes the health page say that no new callers should come.
+    /// Makes `/healthz` report that the router is stopping, so that balancers send no new callers.
     void beginStop();
-    /// Stops accepting; idle connections end now, the others after their present answer.
+    /// Stops accepting connections. Idle ones are closed now, the others after the current answer.
     void stopAccepting();
-    /// Ends the thread; what is in progress is cut. Announcements are still taken and do nothing.
+    /// Stops the thread and closes the connections; answers in progress are truncated.
+    /// notifyReady() may still be called and has no effect.
     void join();
-    /// Connections that still have a request in progress.
+    /// Number of connections that have a request in progress.
     std::size_t busyConnections() const { return m_busy; }
 
 private:
@@ -80,9 +80,9 @@
 
     void run();
     void accept();
-    void takeReady();
-    bool takePlace(Tier tier);
-    void givePlace();
+    void handleReady();
+    bool acquireSlot(Tier tier);
+    void releaseSlot();
     RequestId nextId();
     PoliciesPtr policies() const;
     std::vector<TargetName> targets() const;
@@ -92,7 +92,7 @@
     std::list<std::weak_ptr<CallerConnection>> m_connections;
     std::map<AccountName, std::int64_t> m_accountConnections;
     std::uint64_t m_sequence = 0;
-    std::size_t m_open = 0;
+    std::size_t m_openRequests = 0;
     std::atomic<std::size_t> m_connectionCount{0};
     std::atomic<std::size_t> m_busy{0};
     std::atomic<bool> m_stopping{false};
@@ -100,7 +100,8 @@
     mutable std::mutex m_mutex;
     PoliciesPtr m_policies; ///< guarded by m_mutex
     std::vector<TargetName> m_targets; ///< guarded by m_mutex
-    // Connections that still stand end with the io_context and use what is declared above it.
+    // Destroying the io_context destroys the open connections, which use the members declared
+    // above it.
     boost::asio::io_context m_io{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     boost::asio::ip::tcp::acceptor m_acceptor;
