--- a/src/caller/callerstream.cpp
+++ b/src/caller/callerstream.cpp
@@ -15,13 +15,13 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-auto keepError(error_code *ec)
+auto redirectError(error_code *ec)
 {
     return asio::redirect_error(asio::use_awaitable, *ec);
 }
 
-/// What a fault in a request's bytes is called.
-ErrorKind kindOf(const error_code &ec)
+/// Maps an error of Beast's parser.
+ErrorKind toErrorKind(const error_code &ec)
 {
     if (ec == http::error::header_limit)
         return ErrorKind::HeaderTooLarge;
@@ -33,8 +33,8 @@
 } // namespace
 
 CallerStream::CallerStream(asio::ip::tcp::socket socket)
-    : m_socket(std::move(socket)), m_arrived(m_socket.get_executor()),
-      m_room(m_socket.get_executor())
+    : m_socket(std::move(socket)), m_inputArrived(m_socket.get_executor()),
+      m_readResumed(m_socket.get_executor())
 { }
 
 void CallerStream::start()
@@ -45,36 +45,36 @@
         asio::detached);
 }
 
-bool CallerStream::wantsMore() const
+bool CallerStream::shouldRead() const
 {
     return m_reading || m_input.size() < maxReadAheadBytes;
 }
 
 asio::awaitable<void> CallerStream::readLoop()
 {
-    while (!m_gone) {
-        while (!wantsMore() && !m_gone)
-            co_await m_room.waitUntil(Time::max());
-        if (m_gone)
+    while (!m_disconnected) {
+        while (!shouldRead() && !m_disconnected)
+            co_await m_readResumed.waitUntil(Time::max());
+        if (m_disconnected)
             co_return;
         error_code ec;
         const std::size_t n =
-            co_await m_socket.async_read_some(asio::buffer(m_arriving), keepError(&ec));
-        m_input.commit(asio::buffer_copy(m_input.prepare(n), asio::buffer(m_arriving, n)));
+            co_await m_socket.async_read_some(asio::buffer(m_readBuffer), redirectError(&ec));
+        m_input.commit(asio::buffer_copy(m_input.prepare(n), asio::buffer(m_readBuffer, n)));
         if (ec)
-            markGone();
-        m_arrived.notify();
+            setDisconnected();
+        m_inputArrived.notify();
     }
 }
 
-void CallerStream::markGone()
+void CallerStream::setDisconnected()
 {
-    if (m_gone)
+    if (m_disconnected)
         return;
-    m_gone = true;
-    m_arrived.notify();
-    m_room.notify();
-    if (auto callback = std::exchange(m_onGone, nullptr))
+    m_disconnected = true;
+    m_inputArrived.notify();
+    m_readResumed.notify();
+    if (auto callback = std::exchange(m_onDisconnected, nullptr))
         callback();
 }
 
@@ -85,7 +85,7 @@
         const std::size_t n = parser->put(m_input.data(), ec);
         m_input.consume(n);
         if (ec && ec != http::error::need_more) {
-            m_error = {kindOf(ec), ec.message()};
+            m_error = {toErrorKind(ec), ec.message()};
             return false;
         }
         if (n == 0)
@@ -94,12 +94,12 @@
     return true;
 }
 
-Time CallerStream::readLimit(const CallerLimits &limits, Time began, bool headerDone) const
+Time CallerStream::readDeadline(const CallerLimits &limits, Time startedAt, bool headerDone) const
 {
     if (!m_busy)
-        return began + milliseconds(limits.idleTimeoutMs);
+        return startedAt + milliseconds(limits.idleTimeoutMs);
     if (!headerDone)
-        return began + milliseconds(limits.headerTimeoutMs);
+        return startedAt + milliseconds(limits.headerTimeoutMs);
     return RuntimeClock::now() + milliseconds(limits.idleTimeoutMs);
 }
 
@@ -112,27 +112,27 @@
     m_error = {};
     m_busy = false;
     m_reading = true;
-    m_room.notify();
-    Time began = RuntimeClock::now();
+    m_readResumed.notify();
+    Time startedAt = RuntimeClock::now();
     while (true) {
         if (m_input.size() > 0 && !std::exchange(m_busy, true))
-            began = RuntimeClock::now();
+            startedAt = RuntimeClock::now();
         if (!parseInput(&parser))
             break;
         if (parser.is_done()) {
             m_reading = false;
             co_return parser.release();
         }
-        const bool stop = m_endWhenIdle && !m_busy;
-        const Time limit = readLimit(limits, began, parser.is_header_done());
-        if (m_gone || stop)
+        const bool stop = m_stopWhenIdle && !m_busy;
+        const Time deadline = readDeadline(limits, startedAt, parser.is_header_done());
+        if (m_disconnected || stop)
             break;
-        if (RuntimeClock::now() >= limit) {
+        if (RuntimeClock::now() >= deadline) {
             if (m_busy)
                 m_error = {ErrorKind::SlowSender, "the request was not whole in time"};
             break;
         }
-        co_await m_arrived.waitUntil(limit);
+        co_await m_inputArrived.waitUntil(deadline);
     }
     m_reading = false;
     co_return std::nullopt;
@@ -141,7 +141,7 @@
 asio::awaitable<bool> CallerStream::send(FullAnswer answer)
 {
     error_code ec;
-    co_await http::async_write(m_socket, answer, keepError(&ec));
+    co_await http::async_write(m_socket, answer, redirectError(&ec));
     m_busy = false;
     co_return !ec;
 }
@@ -151,7 +151,7 @@
     error_code ec;
     m_chunked = head.chunked();
     http::response_serializer<http::empty_body> serializer(head);
-    co_await http::async_write_header(m_socket, serializer, keepError(&ec));
+    co_await http::async_write_header(m_socket, serializer, redirectError(&ec));
     co_return !ec;
 }
 
@@ -160,9 +160,9 @@
     error_code ec;
     const asio::const_buffer buf(bytes.data(), bytes.size());
     if (m_chunked)
-        co_await asio::async_write(m_socket, http::make_chunk(buf), keepError(&ec));
+        co_await asio::async_write(m_socket, http::make_chunk(buf), redirectError(&ec));
     else
-        co_await asio::async_write(m_socket, buf, keepError(&ec));
+        co_await asio::async_write(m_socket, buf, redirectError(&ec));
     co_return !ec;
 }
 
@@ -170,7 +170,7 @@
 {
     error_code ec;
     if (m_chunked)
-        co_await asio::async_write(m_socket, http::make_chunk_last(), keepError(&ec));
+        co_await asio::async_write(m_socket, http::make_chunk_last(), redirectError(&ec));
     m_busy = false;
     co_return !ec;
 }
@@ -179,11 +179,11 @@
 {
     error_code ec;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ec);
-    // A request that crosses the close stays unread, so that it may be repeated.
+    // A request that arrives after the shutdown stays unread, so that the caller may repeat it.
     m_socket.cancel(ec);
     Timer linger(m_socket.get_executor());
     linger.expires_after(lingerTime);
-    co_await linger.async_wait(keepError(&ec));
+    co_await linger.async_wait(redirectError(&ec));
     abort();
 }
 
@@ -191,13 +191,13 @@
 {
     error_code ec;
     m_socket.close(ec);
-    markGone();
+    setDisconnected();
 }
 
 void CallerStream::stopWhenIdle()
 {
-    m_endWhenIdle = true;
-    m_arrived.notify();
+    m_stopWhenIdle = true;
+    m_inputArrived.notify();
 }
 
 } // namespace reachlead
--- a/src/caller/callerstream.h
+++ b/src/caller/callerstream.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A caller's HTTP/1.1 connection whose requests are passed on: whole requests in, whole or
-/// streamed answers out, and the news that the caller went away.
+/// A caller's HTTP/1.1 connection to a gateway: reads full requests, sends full or streamed
+/// answers, and reports that the caller disconnected.
 
 #pragma once
 
@@ -25,84 +25,85 @@
 
 namespace reachlead {
 
-/// A request with its whole body.
+/// A request with its full body.
 using CallerHttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// An answer with its whole body.
+/// An answer with its full body.
 using FullAnswer = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// The head of an answer whose body follows in pieces.
+/// The head of an answer whose body is sent in chunks.
 using AnswerHead = boost::beast::http::response<boost::beast::http::empty_body>;
 
-/// One connection. All calls on the thread of its executor.
+/// One connection. To be used on the thread of its executor only.
 ///
-/// One read is outstanding at all times, so that a caller that leaves is noticed while its request
-/// is at work.
+/// A read is pending at all times, so that a disconnect is detected while a request is being
+/// processed. It is suspended only while the read-ahead is full.
 class CallerStream : public std::enable_shared_from_this<CallerStream>
 {
 public:
     explicit CallerStream(boost::asio::ip::tcp::socket socket);
 
-    /// Begins to read. Call once, after the object is held by a shared_ptr.
+    /// Starts reading. To be called once, after the object is owned by a shared_ptr.
     void start();
 
-    /// The next whole request. Empty when there is none: error() then says why, and kind None means
-    /// that the caller ended the connection or stayed idle.
+    /// Reads the next request. Empty when there is none: error() then gives the reason, where kind
+    /// None means that the caller closed the connection or was idle for too long.
     boost::asio::awaitable<std::optional<CallerHttpRequest>> read(const CallerLimits &limits);
 
-    /// Sends a whole answer; false when the connection broke.
+    /// Sends a full answer. Returns false when the connection failed.
     boost::asio::awaitable<bool> send(FullAnswer answer);
 
-    /// Sends the head of an answer in pieces, then pieces, then its end. False when it broke.
+    /// Sends an answer in parts: its head, the chunks of its body, and its end. Each returns false
+    /// when the connection failed.
     boost::asio::awaitable<bool> sendHead(AnswerHead head);
     boost::asio::awaitable<bool> sendChunk(std::string_view bytes);
     boost::asio::awaitable<bool> finishAnswer();
 
-    /// Closes for sending, leaves the caller lingerTime to read the last answer, and closes. Bytes
-    /// that arrive meanwhile are not read.
+    /// Shuts down the sending side, gives the caller lingerTime to read the last answer, and
+    /// closes. Bytes that arrive in the meantime are not read.
     boost::asio::awaitable<void> closeGracefully();
 
-    /// Closes at once; an answer under way is seen to be cut.
+    /// Closes at once; the caller sees an answer in progress as truncated.
     void abort();
 
-    /// Ends read() when no byte of a request has arrived: for a planned stop.
+    /// Makes read() return if no byte of a request has arrived. Used for a planned stop.
     void stopWhenIdle();
 
-    /// Called once, when the caller closes or the connection breaks; then forgotten.
-    void onDisconnected(std::function<void()> callback) { m_onGone = std::move(callback); }
-    void clearOnDisconnected() { m_onGone = nullptr; }
+    /// Sets a callback for when the caller disconnects. It is called at most once.
+    void onDisconnected(std::function<void()> callback) { m_onDisconnected = std::move(callback); }
+    void clearOnDisconnected() { m_onDisconnected = nullptr; }
 
-    bool isDisconnected() const { return m_gone; }
-    /// True between the first byte of a request and the end of its answer.
+    bool isDisconnected() const { return m_disconnected; }
+    /// True from the first byte of a request to the end of its answer.
     bool isBusy() const { return m_busy; }
     const Error &error() const { return m_error; }
 
-    /// Bytes that are read ahead of the request that is at work; more wait in the kernel.
+    /// Bytes that are read ahead while a request is being processed; more stay in the kernel.
     static constexpr std::size_t maxReadAheadBytes = 64U << 10U;
-    /// Time for a caller to close after the last answer: a few round trips.
+    /// Time for a caller to close after the last answer; allows a few round trips.
     static constexpr Duration lingerTime = milliseconds(500);
 
 private:
     boost::asio::awaitable<void> readLoop();
-    bool wantsMore() const;
-    void markGone();
+    bool shouldRead() const;
+    void setDisconnected();
     bool parseInput(boost::beast::http::request_parser<boost::beast::http::string_body> *parser);
-    Time readLimit(const CallerLimits &limits, Time began, bool headerDone) const;
+    Time readDeadline(const CallerLimits &limits, Time startedAt, bool headerDone) const;
 
     boost::asio::ip::tcp::socket m_socket;
-    /// Filled by the read that is outstanding. Not a part of m_input, which may move its bytes
-    /// while they are parsed.
-    std::array<char, 8U << 10U> m_arriving{};
+    /// Buffer of the pending read. Separate from m_input, which may move its bytes while they are
+    /// parsed.
+    std::array<char, 8U << 10U> m_readBuffer{};
     boost::beast::flat_buffer m_input;
-    Signal m_arrived; ///< bytes, or the end
-    Signal m_room; ///< the reader may go on
-    std::function<void()> m_onGone;
+    Signal m_inputArrived; ///< notified on new bytes and on a disconnect
+    Signal m_readResumed; ///< notified when readLoop() may read more
+    std::function<void()> m_onDisconnected;
     Error m_error;
-    bool m_chunked = false; ///< the answer in pieces is
-    bool m_gone = false;
+    bool m_chunked = false; ///< the answer in progress has chunked encoding
+    bool m_disconnected = false;
     bool m_busy = false;
-    bool m_reading = false; ///< read() is under way
-    bool m_endWhenIdle = false;
+    bool m_reading = false; ///< read() is in progress
+    bool m_stopWhenIdle = false;
 };
 
 } // namespace reachlead
--- a/src/caller/headers.h
+++ b/src/caller/headers.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Helpers for HTTP headers that the caller's package shares.
+/// Helpers for HTTP headers.
 
 #pragma once
 
@@ -12,11 +12,11 @@
 
 namespace reachlead {
 
-/// Headers of a service's call or answer that belong to one connection alone (RFC 9110, 7.6.1),
-/// or are secrets between the caller and this router.
+/// True for headers that are not passed on with a call to a service or its answer: those of one
+/// connection (RFC 9110, 7.6.1) or message, and the caller's credentials for this router.
 bool isStrippedHeader(std::string_view name);
 
-/// Beast's string view as the standard's.
+/// Converts Beast's string view to the standard one.
 inline std::string_view toStringView(boost::beast::string_view text)
 {
     return {text.data(), text.size()};
