--- a/src/caller/openai.cpp
+++ b/src/caller/openai.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// Bytes of the prompt that decide whether two prompts share a prefix.
+/// Length of the hashed prefix: prompts with the same first bytes count as sharing a prefix.
 constexpr std::size_t prefixBytes = 1024;
 
-constexpr std::size_t deepestJson = 64;
+constexpr std::size_t maxJsonDepth = 64;
 
-std::string promptOf(const json::object &root, CompletionKind kind)
+std::string promptJson(const json::object &root, CompletionKind kind)
 {
     const json::value *part =
         root.if_contains(kind == CompletionKind::Chat ? "messages" : "prompt");
     return part ? json::serialize(*part) : std::string();
 }
 
-bool hasShape(const json::object &root, CompletionKind kind)
+bool hasPrompt(const json::object &root, CompletionKind kind)
 {
     if (kind == CompletionKind::Text)
         return root.contains("prompt");
@@ -40,7 +40,7 @@
 
 std::string quoteJson(std::string_view text)
 {
-    constexpr unsigned firstPlain = 0x20;
+    constexpr unsigned firstPrintable = 0x20;
     std::string out = "\"";
     out.reserve(text.size() + 2);
     for (const char c : text) {
@@ -55,7 +55,7 @@
             out += "\\n";
             break;
         default:
-            if (static_cast<unsigned char>(c) < firstPlain)
+            if (static_cast<unsigned char>(c) < firstPrintable)
                 out += fmt::format("\\u{:04x}", static_cast<unsigned char>(c));
             else
                 out += c;
@@ -70,7 +70,7 @@
 {
     json::error_code ec;
     json::parse_options options;
-    options.max_depth = deepestJson;
+    options.max_depth = maxJsonDepth;
     const json::value parsed = json::parse({body.data(), body.size()}, ec, {}, options);
     if (ec || !parsed.is_object()) {
         *reason = "the body is not a JSON object";
@@ -82,22 +82,22 @@
         *reason = "'model' is missing or not a string";
         return std::nullopt;
     }
-    if (!hasShape(root, kind)) {
+    if (!hasPrompt(root, kind)) {
         *reason =
             kind == CompletionKind::Chat ? "'messages' is missing or empty" : "'prompt' is missing";
         return std::nullopt;
     }
-    CompletionRequest ask;
-    ask.model = std::string(model->get_string());
+    CompletionRequest request;
+    request.model = std::string(model->get_string());
     const json::value *stream = root.if_contains("stream");
     if (stream && !stream->is_bool() && !stream->is_null()) {
         *reason = "'stream' is not a boolean";
         return std::nullopt;
     }
-    ask.stream = stream && stream->is_bool() && stream->get_bool();
-    const std::string prompt = promptOf(root, kind);
-    ask.prefixHash = XXH64(prompt.data(), std::min(prompt.size(), prefixBytes), 0);
-    return ask;
+    request.stream = stream && stream->is_bool() && stream->get_bool();
+    const std::string prompt = promptJson(root, kind);
+    request.prefixHash = XXH64(prompt.data(), std::min(prompt.size(), prefixBytes), 0);
+    return request;
 }
 
 AnswerWriter::AnswerWriter(CompletionKind kind, const RequestId &id, std::string_view model)
@@ -107,7 +107,7 @@
                     .count())
 { }
 
-std::string AnswerWriter::head(std::string_view object) const
+std::string AnswerWriter::commonFields(std::string_view object) const
 {
     return fmt::format(R"({{"id":"{}","object":"{}","created":{},"model":{})", m_id, object,
                        m_created, m_model);
@@ -119,10 +119,10 @@
     if (m_kind == CompletionKind::Chat)
         return fmt::format("data: {},\"choices\":[{{\"index\":0,\"delta\":{{\"content\":{}}},"
                            "\"finish_reason\":null}}]}}\n\n",
-                           head("chat.completion.chunk"), quoted);
+                           commonFields("chat.completion.chunk"), quoted);
     return fmt::format(
         "data: {},\"choices\":[{{\"index\":0,\"text\":{},\"finish_reason\":null}}]}}\n\n",
-        head("text_completion"), quoted);
+        commonFields("text_completion"), quoted);
 }
 
 std::string AnswerWriter::finish(std::uint64_t tokens) const
@@ -130,7 +130,7 @@
     const bool chat = m_kind == CompletionKind::Chat;
     return fmt::format("data: {},\"choices\":[{{\"index\":0,{},\"finish_reason\":\"stop\"}}],"
                        "\"usage\":{{\"completion_tokens\":{}}}}}\n\ndata: [DONE]\n\n",
-                       head(chat ? "chat.completion.chunk" : "text_completion"),
+                       commonFields(chat ? "chat.completion.chunk" : "text_completion"),
                        chat ? "\"delta\":{}" : "\"text\":\"\"", tokens);
 }
 
@@ -143,7 +143,7 @@
         : fmt::format(R"("text":{})", quoted);
     return fmt::format(R"({},"choices":[{{"index":0,{},"finish_reason":"stop"}}],)"
                        R"("usage":{{"completion_tokens":{}}}}})",
-                       head(chat ? "chat.completion" : "text_completion"), choice, tokens);
+                       commonFields(chat ? "chat.completion" : "text_completion"), choice, tokens);
 }
 
 std::string errorJson(ErrorKind kind, Outcome outcome, const RequestId &id, std::string_view reason)
--- a/src/caller/openai.h
+++ b/src/caller/openai.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The shapes of the OpenAI HTTP API that client libraries use: chat and plain completions.
+/// JSON bodies of the OpenAI HTTP API for chat and text completions.
 
 #pragma once
 
@@ -16,36 +16,35 @@
 
 namespace reachlead {
 
-/// The two kinds of completion.
 enum class CompletionKind : std::uint8_t { Chat, Text };
 
-/// What the router needs of a completion request.
+/// The fields of a completion request that the router needs.
 struct CompletionRequest
 {
     std::string model;
     bool stream = false;
-    std::uint64_t prefixHash = 0; ///< of the first bytes of the prompt
+    std::uint64_t prefixHash = 0; ///< hash of the first bytes of the prompt
 };
 
-/// Reads a request body; empty with \p reason set when it has another shape.
+/// Parses a request body. Empty, with \p reason set, when a field is missing or has a wrong type.
 std::optional<CompletionRequest> parseCompletionRequest(std::string_view body, CompletionKind kind,
                                                         std::string *reason);
 
-/// Writes the JSON of one answer; holds what its pieces have in common.
+/// Formats one answer as JSON, at once or as server-sent events.
 class AnswerWriter
 {
 public:
     AnswerWriter(CompletionKind kind, const RequestId &id, std::string_view model);
 
-    /// One server-sent event with a piece of the text.
+    /// A server-sent event with some text.
     std::string chunk(std::string_view text) const;
-    /// The last events of a whole answer.
+    /// The last events of a complete answer.
     std::string finish(std::uint64_t tokens) const;
-    /// A whole answer in one JSON text.
+    /// A full answer that is not streamed.
     std::string fullAnswer(std::string_view text, std::uint64_t tokens) const;
 
 private:
-    std::string head(std::string_view object) const;
+    std::string commonFields(std::string_view object) const;
 
     CompletionKind m_kind;
     std::string m_id;
@@ -53,11 +52,11 @@
     std::int64_t m_created;
 };
 
-/// The JSON of a refusal or a cut answer.
+/// The JSON of a refusal or a truncated answer.
 std::string errorJson(ErrorKind kind, Outcome outcome, const RequestId &id,
                       std::string_view reason);
 
-/// A JSON string with its quotes.
+/// Quotes and escapes a JSON string.
 std::string quoteJson(std::string_view text);
 
 } // namespace reachlead
--- a/src/caller/openai_test.cpp
+++ b/src/caller/openai_test.cpp
@@ -14,10 +14,10 @@
 {
     CPPUNIT_TEST_SUITE(OpenAiTest);
     CPPUNIT_TEST(readsBothKinds);
-    CPPUNIT_TEST(namesWhatIsWrong);
-    CPPUNIT_TEST(anyBytesAreTaken);
-    CPPUNIT_TEST(anyTextIsQuoted);
-    CPPUNIT_TEST(answersAreJson);
+    CPPUNIT_TEST(reportsInvalidFields);
+    CPPUNIT_TEST(parsesArbitraryBytes);
+    CPPUNIT_TEST(quotesAnyText);
+    CPPUNIT_TEST(answersAreValidJson);
     CPPUNIT_TEST_SUITE_END();
 
     void readsBothKinds()
@@ -32,7 +32,7 @@
         CPPUNIT_ASSERT(plain && !plain->stream);
     }
 
-    void namesWhatIsWrong()
+    void reportsInvalidFields()
     {
         const auto reasonOf = [](std::string_view body) {
             std::string reason;
@@ -50,25 +50,25 @@
                              reasonOf(std::string(100000, '[')));
     }
 
-    void anyBytesAreTaken()
+    void parsesArbitraryBytes()
     {
-        const bool good = rc::check("any bytes", [](const std::string &bytes) {
+        const bool passed = rc::check("any bytes", [](const std::string &bytes) {
             std::string reason;
             (void)parseCompletionRequest(bytes, CompletionKind::Chat, &reason);
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void anyTextIsQuoted()
+    void quotesAnyText()
     {
-        const bool good = rc::check("quoted text comes back", [] {
+        const bool passed = rc::check("quoted text parses to itself", [] {
             const auto text = *rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127));
             RC_ASSERT(boost::json::parse(quoteJson(text)).as_string() == text);
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void answersAreJson()
+    void answersAreValidJson()
     {
         const RequestId id{Incarnation{1}, 2};
         for (const auto kind : {CompletionKind::Chat, CompletionKind::Text}) {
