--- a/src/objectapi/claimwriter.cpp
+++ b/src/objectapi/claimwriter.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr std::size_t ringSize = 4096;
+constexpr std::size_t maxPendingChanges = 4096;
 
-std::int64_t timeOfDay()
+std::int64_t unixSeconds()
 {
     using namespace std::chrono;
     return duration_cast<seconds>(system_clock::now().time_since_epoch()).count();
@@ -29,14 +29,14 @@
 
 } // namespace
 
-ClaimWriter::ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onEnded)
-    : m_options(std::move(options)), m_onEnded(std::move(onEnded)),
-      m_book(m_options.target, m_options.tuning, timeOfDay),
+ClaimWriter::ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onCompleted)
+    : m_options(std::move(options)), m_onCompleted(std::move(onCompleted)),
+      m_table(m_options.target, m_options.tuning, unixSeconds),
       m_platform(std::make_unique<HttpPlatform>(m_options.service, m_options.callTimeout,
                                                 m_options.counters)),
-      m_changes(ringSize, [this] { asio::post(m_io, [this] { takeChanges(); }); })
+      m_changes(maxPendingChanges, [this] { asio::post(m_io, [this] { applyChanges(); }); })
 {
-    asio::co_spawn(m_io, ticks(), asio::detached);
+    asio::co_spawn(m_io, tickLoop(), asio::detached);
     m_thread = std::thread([this] { m_io.run(); });
 }
 
@@ -67,32 +67,32 @@
 {
     if (m_changes.push(change))
         return;
-    // A claim that finds no room is refused as not run; a release that finds none leaves its key
-    // claimed until it expires.
+    // The ring is full: a claim is refused as not run, and the key of a release stays claimed until
+    // the claim expires.
     m_options.counters->add(Counter::RingFull);
     if (const auto *claim = std::get_if<MakeClaim>(&change))
-        m_onEnded({claim->key, ClaimResult::StoreDown});
+        m_onCompleted({claim->key, ClaimResult::StoreDown});
 }
 
-void ClaimWriter::takeChanges()
+void ClaimWriter::applyChanges()
 {
     const Time now = RuntimeClock::now();
     for (const Change &change : m_changes.drain()) {
         if (const auto *claim = std::get_if<MakeClaim>(&change))
-            m_book.claim(*claim, now);
+            m_table.claim(*claim, now);
         else
-            m_book.release(std::get<ReleaseClaim>(change), now);
+            m_table.release(std::get<ReleaseClaim>(change), now);
     }
-    act();
+    executeActions();
 }
 
-void ClaimWriter::act()
+void ClaimWriter::executeActions()
 {
-    for (ClaimAction &action : m_book.takeActions()) {
-        if (auto *ended = std::get_if<ClaimCompleted>(&action))
-            m_onEnded(*ended);
-        else if (auto *reading = std::get_if<ReadSlots>(&action))
-            asio::co_spawn(m_io, read(std::move(*reading)), asio::detached);
+    for (ClaimAction &action : m_table.takeActions()) {
+        if (auto *completed = std::get_if<ClaimCompleted>(&action))
+            m_onCompleted(*completed);
+        else if (auto *readSlots = std::get_if<ReadSlots>(&action))
+            asio::co_spawn(m_io, read(std::move(*readSlots)), asio::detached);
         else
             asio::co_spawn(m_io, write(std::move(std::get<WriteSlot>(action))), asio::detached);
     }
@@ -101,8 +101,8 @@
 asio::awaitable<void> ClaimWriter::read(ReadSlots action)
 {
     const PlatformReply reply = co_await m_platform->list(action.prefix);
-    m_book.replyReceived(action.call, reply, RuntimeClock::now());
-    act();
+    m_table.replyReceived(action.call, reply, RuntimeClock::now());
+    executeActions();
 }
 
 asio::awaitable<void> ClaimWriter::write(WriteSlot action)
@@ -110,18 +110,18 @@
     m_options.counters->add(Counter::ClaimWrites);
     const PlatformReply reply =
         co_await m_platform->put(action.key, std::move(action.value), action.expected);
-    m_book.replyReceived(action.call, reply, RuntimeClock::now());
-    act();
+    m_table.replyReceived(action.call, reply, RuntimeClock::now());
+    executeActions();
 }
 
-asio::awaitable<void> ClaimWriter::ticks()
+asio::awaitable<void> ClaimWriter::tickLoop()
 {
     Timer timer(m_io);
     for (;;) {
         timer.expires_after(tickInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-        m_book.tick(RuntimeClock::now());
-        act();
+        m_table.tick(RuntimeClock::now());
+        executeActions();
     }
 }
 
--- a/src/objectapi/claimwriter.h
+++ b/src/objectapi/claimwriter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform thread of an agent: writes the claims that its ClaimTable decides on.
+/// The platform thread of an agent: executes the reads and writes of its ClaimTable.
 
 #pragma once
 
@@ -33,13 +33,13 @@
         Counters *counters = nullptr;
     };
 
-    /// \p onEnded is called on the platform thread with the word on each claim.
-    ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onEnded);
+    /// \p onCompleted is called on the platform thread with the result of each claim.
+    ClaimWriter(Options options, std::function<void(const ClaimCompleted &)> onCompleted);
     ~ClaimWriter();
 
     void claim(const MakeClaim &claim);
     void release(const ReleaseClaim &release);
-    /// Ends the thread; further claims do nothing.
+    /// Stops the thread; later claims have no effect.
     void join();
 
 private:
@@ -47,15 +47,15 @@
     static constexpr Duration tickInterval = milliseconds(20);
 
     void push(Change change);
-    void takeChanges();
-    void act();
+    void applyChanges();
+    void executeActions();
     boost::asio::awaitable<void> read(ReadSlots action);
     boost::asio::awaitable<void> write(WriteSlot action);
-    boost::asio::awaitable<void> ticks();
+    boost::asio::awaitable<void> tickLoop();
 
     Options m_options;
-    std::function<void(const ClaimCompleted &)> m_onEnded;
-    ClaimTable m_book;
+    std::function<void(const ClaimCompleted &)> m_onCompleted;
+    ClaimTable m_table;
     std::unique_ptr<Platform> m_platform;
     boost::asio::io_context m_io{1};
     RingBuffer<Change> m_changes;
--- a/src/objectapi/httpplatform.cpp
+++ b/src/objectapi/httpplatform.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned statusNotFound = 404;
 constexpr unsigned statusConflict = 409;
 
-PlatformStatus statusOf(unsigned status)
+PlatformStatus toPlatformStatus(unsigned status)
 {
     switch (status) {
     case statusOk:
@@ -29,29 +29,29 @@
     }
 }
 
-/// Makes a reply of an HTTP answer; an answer that cannot be read counts as none.
-PlatformReply readReply(const HttpResponse &answer)
+/// Converts an HTTP response. A response that cannot be parsed counts as Unavailable.
+PlatformReply readReply(const HttpResponse &response)
 {
     PlatformReply reply;
-    reply.status = statusOf(answer.status);
+    reply.status = toPlatformStatus(response.status);
     if (reply.status == PlatformStatus::Unavailable)
-        reply.reason = fmt::format("HTTP status {}", answer.status);
-    else if (!objectsFromJson(answer.body, &reply))
+        reply.reason = fmt::format("HTTP status {}", response.status);
+    else if (!objectsFromJson(response.body, &reply))
         reply.status = PlatformStatus::Unavailable;
     return reply;
 }
 
 } // namespace
 
-Platform::Awaitable<PlatformReply> HttpPlatform::read(std::string path, Duration limit)
+Platform::Awaitable<PlatformReply> HttpPlatform::read(std::string path, Duration timeout)
 {
     m_counters->add(Counter::PlatformCalls);
-    HttpRequest ask;
-    ask.path = std::move(path);
+    HttpRequest request;
+    request.path = std::move(path);
     PlatformReply reply;
-    const auto answer = co_await httpCall(m_service, std::move(ask), limit, &reply.reason);
-    if (answer)
-        reply = readReply(*answer);
+    const auto response = co_await httpCall(m_service, std::move(request), timeout, &reply.reason);
+    if (response)
+        reply = readReply(*response);
     if (reply.status == PlatformStatus::Unavailable)
         m_counters->add(Counter::PlatformFailures);
     co_return reply;
@@ -61,22 +61,23 @@
                                                        std::string value, ObjectVersion expected)
 {
     m_counters->add(Counter::PlatformCalls);
-    HttpRequest ask;
-    ask.method = std::move(method);
-    ask.path = fmt::format("/objects?key={}&expected={}", encodeQuery(key),
-                           static_cast<std::uint64_t>(expected));
-    ask.body = std::move(value);
+    HttpRequest request;
+    request.method = std::move(method);
+    request.path = fmt::format("/objects?key={}&expected={}", encodeQuery(key),
+                               static_cast<std::uint64_t>(expected));
+    request.body = std::move(value);
     PlatformReply reply;
     CallProgress progress{};
-    const auto answer =
-        co_await httpCall(m_service, std::move(ask), m_limit, &reply.reason, &progress);
-    if (answer)
-        reply = readReply(*answer);
+    const auto response =
+        co_await httpCall(m_service, std::move(request), m_timeout, &reply.reason, &progress);
+    if (response)
+        reply = readReply(*response);
     else if (progress != CallProgress::NotConnected)
         reply.status = PlatformStatus::Indeterminate;
+    // Only a 503 guarantees that nothing was written.
     if (reply.status == PlatformStatus::Unavailable && progress != CallProgress::NotConnected
-        && !(answer && answer->status == 503))
-        reply.status = PlatformStatus::Indeterminate; // only a plain 503 says that nothing was done
+        && !(response && response->status == 503))
+        reply.status = PlatformStatus::Indeterminate;
     if (reply.status == PlatformStatus::Unavailable
         || reply.status == PlatformStatus::Indeterminate)
         m_counters->add(Counter::PlatformFailures);
@@ -85,12 +86,12 @@
 
 Platform::Awaitable<PlatformReply> HttpPlatform::get(std::string key)
 {
-    return read(fmt::format("/objects?key={}", encodeQuery(key)), m_limit);
+    return read(fmt::format("/objects?key={}", encodeQuery(key)), m_timeout);
 }
 
 Platform::Awaitable<PlatformReply> HttpPlatform::list(std::string prefix)
 {
-    return read(fmt::format("/objects?prefix={}", encodeQuery(prefix)), m_limit);
+    return read(fmt::format("/objects?prefix={}", encodeQuery(prefix)), m_timeout);
 }
 
 Platform::Awaitable<PlatformReply> HttpPlatform::put(std::string key, std::string value,
@@ -107,22 +108,22 @@
 Platform::Awaitable<PlatformReply> HttpPlatform::watch(std::string prefix, ObjectVersion from,
                                                        Duration wait)
 {
-    const auto millis = std::chrono::duration_cast<milliseconds>(wait).count();
+    const auto waitMs = std::chrono::duration_cast<milliseconds>(wait).count();
     return read(fmt::format("/watch?prefix={}&from={}&wait_ms={}", encodeQuery(prefix),
-                            static_cast<std::uint64_t>(from), millis),
-                wait + m_limit);
+                            static_cast<std::uint64_t>(from), waitMs),
+                wait + m_timeout);
 }
 
 Platform::Awaitable<MemberList> HttpPlatform::members()
 {
     m_counters->add(Counter::PlatformCalls);
-    HttpRequest ask;
-    ask.path = "/members";
+    HttpRequest request;
+    request.path = "/members";
     std::string reason;
     MemberList list;
-    const auto answer = co_await httpCall(m_service, std::move(ask), m_limit, &reason);
-    if (answer && answer->status == statusOk) {
-        if (auto members = membersFromJson(answer->body)) {
+    const auto response = co_await httpCall(m_service, std::move(request), m_timeout, &reason);
+    if (response && response->status == statusOk) {
+        if (auto members = membersFromJson(response->body)) {
             list.known = true;
             list.members = std::move(*members);
         }
--- a/src/objectapi/httpplatform.h
+++ b/src/objectapi/httpplatform.h
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform's service over HTTP and JSON. The wire shape is this project's assumption until
-/// the platform's own is known; nothing outside this package depends on it.
+/// Client of the platform's service over HTTP and JSON. The wire format is an assumption of this
+/// project, as the platform's own is not known yet; only this package and the service's stand-in
+/// depend on it.
 
 #pragma once
 
@@ -16,9 +17,9 @@
 class HttpPlatform : public Platform
 {
 public:
-    /// \p limit bounds each call but watches, which wait as long as they are told and this more.
-    HttpPlatform(Endpoint service, Duration limit, Counters *counters)
-        : m_service(std::move(service)), m_limit(limit), m_counters(counters)
+    /// \p timeout is that of each call; a watch adds its waiting time.
+    HttpPlatform(Endpoint service, Duration timeout, Counters *counters)
+        : m_service(std::move(service)), m_timeout(timeout), m_counters(counters)
     { }
 
     Awaitable<PlatformReply> get(std::string key) override;
@@ -30,12 +31,12 @@
     Awaitable<MemberList> members() override;
 
 private:
-    Awaitable<PlatformReply> read(std::string path, Duration limit);
+    Awaitable<PlatformReply> read(std::string path, Duration timeout);
     Awaitable<PlatformReply> write(std::string method, std::string key, std::string value,
                                    ObjectVersion expected);
 
     Endpoint m_service;
-    Duration m_limit;
+    Duration m_timeout;
     Counters *m_counters;
 };
 
--- a/src/objectapi/platformfollower.cpp
+++ b/src/objectapi/platformfollower.cpp
@@ -42,7 +42,7 @@
     return m_status;
 }
 
-void PlatformFollower::note(bool platformUp)
+void PlatformFollower::updateStatus(bool platformUp)
 {
     std::scoped_lock lock(m_mutex);
     if (m_status.platformUp != platformUp)
@@ -54,18 +54,19 @@
     m_options.counters->set(Gauge::SettingsVersion, static_cast<std::int64_t>(m_replica.version()));
 }
 
-asio::awaitable<void> PlatformFollower::pause(Duration longest)
+asio::awaitable<void> PlatformFollower::randomDelay(Duration maxDelay)
 {
     thread_local std::mt19937_64 random{std::random_device{}()};
-    std::uniform_int_distribution<Duration::rep> spread(longest.count() / 4, longest.count());
-    Timer timer(m_io, Duration(spread(random)));
+    std::uniform_int_distribution<Duration::rep> distribution(maxDelay.count() / 4,
+                                                              maxDelay.count());
+    Timer timer(m_io, Duration(distribution(random)));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-bool PlatformFollower::applyReply(const PlatformReply &reply, bool whole)
+bool PlatformFollower::applyReply(const PlatformReply &reply, bool isSnapshot)
 {
     const ObjectVersion before = m_replica.version();
-    if (whole) {
+    if (isSnapshot) {
         m_replica.applyList(reply.objects, reply.version);
     } else {
         for (const PlatformObject &object : reply.objects) {
@@ -86,8 +87,8 @@
     const std::string prefix(settingsPrefix);
     bool listed = false;
     for (;;) {
-        // The watch begins where the list ended, so that nothing between is missed. A version
-        // taken from a list is never lowered by a stale one: the replica only moves forward.
+        // The watch starts at the version of the list, so that no change in between is missed. The
+        // replica ignores older versions, so a stale list cannot revert it.
         PlatformReply reply;
         if (!listed)
             reply = co_await m_platform->list(prefix);
@@ -95,13 +96,13 @@
             reply = co_await m_platform->watch(prefix, m_replica.version(), m_options.watchTimeout);
         if (!reply.ok()) {
             listed = listed && reply.status != PlatformStatus::NotFound;
-            note(false);
-            co_await pause(m_options.maxRetryDelay);
+            updateStatus(false);
+            co_await randomDelay(m_options.maxRetryDelay);
             continue;
         }
         const bool changed = applyReply(reply, !listed);
         listed = true;
-        note(true);
+        updateStatus(true);
         if (changed && m_replica.policies())
             m_onPolicies(m_replica.policies());
     }
@@ -112,12 +113,12 @@
     std::vector<Member> last;
     for (;;) {
         MemberList list = co_await m_platform->members();
-        // An empty list is never believed: it would close every session of a healthy fleet.
+        // An empty list is ignored: it would close all sessions of a healthy fleet.
         if (list.known && !list.members.empty() && list.members != last) {
             last = list.members;
             m_onMembers(std::move(list.members));
         }
-        co_await pause(m_options.memberPollInterval);
+        co_await randomDelay(m_options.memberPollInterval);
     }
 }
 
--- a/src/objectapi/platformfollower.h
+++ b/src/objectapi/platformfollower.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform thread of a router: follows the settings tree and the membership list.
+/// The platform thread of a router: watches the settings tree and polls the membership list.
 
 #pragma once
 
@@ -21,8 +21,8 @@
 
 namespace reachlead {
 
-/// Keeps a settings replica current and tells others of each change. What was read stays in force
-/// while the platform is away.
+/// Keeps a replica of the settings up to date and reports each change. The last settings stay in
+/// force while the platform is unavailable.
 class PlatformFollower
 {
 public:
@@ -32,16 +32,16 @@
         Duration callTimeout = seconds(2);
         Duration watchTimeout = seconds(20);
         Duration memberPollInterval = seconds(1);
-        Duration maxRetryDelay = seconds(2); ///< between tries while the platform is away
+        Duration maxRetryDelay = seconds(2); ///< while the platform is unavailable
         Counters *counters = nullptr;
     };
 
-    /// What is in force, for operators.
+    /// Version and state of the settings in force, for operators.
     struct Status
     {
         ObjectVersion version{};
         std::uint64_t digest = 0;
-        std::string reason; ///< why the newest tree is not in force; empty when it is
+        std::string reason; ///< why the latest tree is not in force; empty if it is
         bool platformUp = false;
     };
 
@@ -54,9 +54,9 @@
 private:
     boost::asio::awaitable<void> followSettings();
     boost::asio::awaitable<void> followMembers();
-    boost::asio::awaitable<void> pause(Duration longest);
-    bool applyReply(const PlatformReply &reply, bool whole);
-    void note(bool platformUp);
+    boost::asio::awaitable<void> randomDelay(Duration maxDelay);
+    bool applyReply(const PlatformReply &reply, bool isSnapshot);
+    void updateStatus(bool platformUp);
 
     Options m_options;
     std::function<void(PoliciesPtr)> m_onPolicies;
--- a/src/objectapi/platformjson.h
+++ b/src/objectapi/platformjson.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The JSON of the platform's service, used by the client here and by the stand-in.
+/// JSON bodies of the platform's service, used by its client and its stand-in.
 
 #pragma once
 
@@ -13,16 +13,17 @@
 
 namespace reachlead {
 
-/// Writes `{"version": V, "objects": [...]}`.
+/// Formats `{"version": V, "objects": [...]}`.
 std::string objectsToJson(ObjectVersion version, const std::vector<PlatformObject> &objects);
 
-/// Reads what objectsToJson() wrote into \p reply; false when the text has another shape.
+/// Parses the format of objectsToJson() into \p reply. Returns false, with the reason in the reply,
+/// when the text is malformed.
 bool objectsFromJson(const std::string &text, PlatformReply *reply);
 
-/// Writes a membership list.
+/// Formats a membership list.
 std::string membersToJson(const std::vector<Member> &members);
 
-/// Reads what membersToJson() wrote.
+/// Parses the format of membersToJson(). Empty when the text is malformed.
 std::optional<std::vector<Member>> membersFromJson(const std::string &text);
 
 } // namespace reachlead
