--- a/src/operators/adminserver.cpp
+++ b/src/operators/adminserver.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-bool sameKey(const std::string &expected, std::string_view got)
+bool keysEqual(const std::string &expected, std::string_view actual)
 {
-    return expected.size() == got.size()
-        && CRYPTO_memcmp(expected.data(), got.data(), got.size()) == 0;
+    return expected.size() == actual.size()
+        && CRYPTO_memcmp(expected.data(), actual.data(), actual.size()) == 0;
 }
 
-HttpResponse plain(unsigned status, std::string text)
+HttpResponse textResponse(unsigned status, std::string text)
 {
     return {status, {{"Content-Type", "text/plain"}}, std::move(text)};
 }
@@ -31,8 +31,8 @@
     : m_options(std::move(options)), m_pages(std::move(pages))
 {
     m_server = std::make_unique<HttpServer>(
-        m_io, m_options.listen, [this](HttpRequest ask) -> asio::awaitable<HttpResponse> {
-            HttpResponse reply = answer(ask);
+        m_io, m_options.listen, [this](HttpRequest request) -> asio::awaitable<HttpResponse> {
+            HttpResponse reply = handle(request);
             co_return reply;
         });
     m_port = m_server->port();
@@ -45,35 +45,35 @@
     m_thread.join();
 }
 
-AdminRole AdminServer::roleOf(const HttpRequest &ask) const
+AdminRole AdminServer::authenticate(const HttpRequest &request) const
 {
     constexpr std::string_view scheme = "Bearer ";
-    std::string_view key = ask.header("Authorization");
+    std::string_view key = request.header("Authorization");
     if (key.starts_with(scheme))
         key.remove_prefix(scheme.size());
-    if (!m_options.writeKey.empty() && sameKey(m_options.writeKey, key))
+    if (!m_options.writeKey.empty() && keysEqual(m_options.writeKey, key))
         return AdminRole::Write;
-    if (m_options.readKey.empty() || sameKey(m_options.readKey, key))
+    if (m_options.readKey.empty() || keysEqual(m_options.readKey, key))
         return AdminRole::Read;
     return AdminRole::None;
 }
 
-HttpResponse AdminServer::answer(const HttpRequest &ask) const
+HttpResponse AdminServer::handle(const HttpRequest &request) const
 {
-    const std::string name = fmt::format("{} {}", ask.method, ask.pathOnly());
-    const AdminRole role = roleOf(ask);
+    const std::string name = fmt::format("{} {}", request.method, request.pathOnly());
+    const AdminRole role = authenticate(request);
     if (name == "GET /metrics" && role >= AdminRole::Read)
-        return plain(200, m_options.counters->page());
+        return textResponse(200, m_options.counters->page());
     const auto it = m_pages.find(name);
     if (it == m_pages.end())
-        return plain(404, "no such page\n");
+        return textResponse(404, "no such page\n");
     if (role < it->second.requiredRole)
-        return plain(403, "this key does not allow it\n");
+        return textResponse(403, "this key does not allow it\n");
     if (it->second.requiredRole == AdminRole::Write)
         LogLine(LogLevel::Info, "operator-order")
             .with("order", name)
-            .with("who", ask.header("Reachlead-Operator"));
-    return it->second.serve(ask);
+            .with("who", request.header("Reachlead-Operator"));
+    return it->second.serve(request);
 }
 
 } // namespace reachlead
--- a/src/operators/adminserver.h
+++ b/src/operators/adminserver.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The operators' thread of a daemon: counters, health, status, and orders, each behind a key.
+/// The operators' HTTP server of a daemon, on a thread of its own: metrics, health, status and
+/// commands, protected by API keys.
 
 #pragma once
 
@@ -19,37 +20,37 @@
 
 namespace reachlead {
 
-/// What an operator's key allows.
+/// Access level of an operator's key.
 enum class AdminRole : std::uint8_t { None, Read, Write };
 
-/// Serves the operators' pages. `/healthz` needs no key.
+/// Serves the operators' pages. Those with the role None need no key.
 class AdminServer
 {
 public:
     struct Options
     {
         Endpoint listen;
-        std::string readKey; ///< empty: no key needed to read
-        std::string writeKey; ///< empty: nobody may change anything
+        std::string readKey; ///< empty: reading needs no key
+        std::string writeKey; ///< empty: nobody has write access
         const Counters *counters = nullptr;
     };
 
-    /// One page; called on the operators' thread.
+    /// One page. Its function is called on the operators' thread.
     struct Page
     {
         AdminRole requiredRole = AdminRole::Read;
         std::function<HttpResponse(const HttpRequest &)> serve;
     };
 
-    /// Pages are named `METHOD PATH`, as `POST /drain`.
+    /// The key of a page is `METHOD PATH`, such as `POST /drain`.
     AdminServer(Options options, std::map<std::string, Page> pages);
     ~AdminServer();
 
     std::uint16_t port() const { return m_port; }
 
 private:
-    HttpResponse answer(const HttpRequest &ask) const;
-    AdminRole roleOf(const HttpRequest &ask) const;
+    HttpResponse handle(const HttpRequest &request) const;
+    AdminRole authenticate(const HttpRequest &request) const;
 
     Options m_options;
     std::map<std::string, Page> m_pages;
--- a/src/operators/daemon.cpp
+++ b/src/operators/daemon.cpp
@@ -34,7 +34,7 @@
     return static_cast<int>(exit);
 }
 
-sigset_t stopSet()
+sigset_t stopSignals()
 {
     sigset_t set;
     sigemptyset(&set);
@@ -50,27 +50,27 @@
     po::options_description options(fmt::format("{}: {}\n\nOptions", program, summary));
     options.add_options()("help,h", "show this text")("version", "show the version")(
         "settings,s", po::value<std::string>(),
-        "the settings file (INI)")("check-settings", "check the settings file and end");
-    po::variables_map given;
+        "the settings file (INI)")("check-settings", "check the settings file and exit");
+    po::variables_map arguments;
     try {
-        po::store(po::parse_command_line(argc, argv, options), given);
+        po::store(po::parse_command_line(argc, argv, options), arguments);
     } catch (const po::error &e) {
         std::cerr << program << ": " << e.what() << "\n";
         return code(ExitCode::BadUsage);
     }
-    if (given.contains("help")) {
+    if (arguments.contains("help")) {
         std::cout << options;
         return code(ExitCode::Success);
     }
-    if (given.contains("version")) {
+    if (arguments.contains("version")) {
         std::cout << program << " " << REACHLEAD_VERSION << "\n";
         return code(ExitCode::Success);
     }
-    if (!given.contains("settings")) {
+    if (!arguments.contains("settings")) {
         std::cerr << program << ": --settings FILE is required\n";
         return code(ExitCode::BadUsage);
     }
-    const auto path = given["settings"].as<std::string>();
+    const auto path = arguments["settings"].as<std::string>();
     const std::optional<std::string> text = readFile(path);
     std::string reason = fmt::format("{}: cannot be read", path);
     std::optional<IniFile> file;
@@ -86,7 +86,7 @@
         std::cerr << program << ": " << reason << "\n";
         return code(ExitCode::BadSettings);
     }
-    if (given.contains("check-settings"))
+    if (arguments.contains("check-settings"))
         return code(ExitCode::Success);
     setLogProgram(program);
     const BackgroundLog background;
@@ -112,18 +112,19 @@
 
 StopSignal::StopSignal()
 {
-    // Blocked before any thread starts, so that every thread inherits it and only wait() sees it.
-    const sigset_t set = stopSet();
+    // Blocked before any thread starts, so that all threads inherit the mask and only wait()
+    // receives the signals.
+    const sigset_t set = stopSignals();
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     (void)std::signal(SIGPIPE, SIG_IGN);
 }
 
 void StopSignal::wait()
 {
-    const sigset_t set = stopSet();
-    int got = 0;
-    sigwait(&set, &got);
-    LogLine(LogLevel::Info, "stop").with("signal", got);
+    const sigset_t set = stopSignals();
+    int received = 0;
+    sigwait(&set, &received);
+    LogLine(LogLevel::Info, "stop").with("signal", received);
 }
 
 void StopSignal::raise()
--- a/src/operators/daemon.h
+++ b/src/operators/daemon.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What the daemons' main functions have in common: the command line, the settings file, signals.
+/// Common parts of the daemons' main functions: command line, settings file, signals.
 
 #pragma once
 
@@ -14,14 +14,13 @@
 
 namespace reachlead {
 
-/// How a program ends.
 enum class ExitCode : int { Success = 0, Failed = 1, BadUsage = 2, BadSettings = 3 };
 
-/// Reads `--help`, `--version`, `--check-settings` and `--settings FILE`, then the file. Runs
-/// \p run with the parsed file; \p check alone when asked to check only. Both return the first
-/// fault in the file, or nothing.
+/// Parses the options `--help`, `--version`, `--check-settings` and `--settings FILE`, reads the
+/// settings file and passes it to \p check, which returns the first error in it, if any. Then calls
+/// \p run, unless only a check was requested.
 ///
-/// Nothing is opened before \p check found no fault.
+/// \p run is not called, and so no socket is opened, before \p check has accepted the file.
 struct DaemonMain
 {
     std::string program;
@@ -32,12 +31,12 @@
     int operator()(int argc, char **argv) const;
 };
 
-/// The last fault of sections that nobody knows; empty when all are in \p known.
+/// Returns an error if the file has a section that is not in \p known.
 std::optional<std::string> unknownSection(const IniFile &file,
                                           const std::vector<std::string_view> &known);
 
-/// Waits for SIGTERM or SIGINT. Further signals are counted and change nothing: a stop during a
-/// stop goes on as it was.
+/// Waits for SIGTERM or SIGINT. The signals stay blocked, so further ones during a stop have no
+/// effect.
 class StopSignal
 {
 public:
@@ -46,10 +45,10 @@
     StopSignal(const StopSignal &) = delete;
     StopSignal &operator=(const StopSignal &) = delete;
 
-    /// Returns when the process was told to stop.
+    /// Blocks until the process receives a stop signal.
     void wait();
 
-    /// Has wait() return, as a signal would.
+    /// Makes wait() return, by sending SIGTERM to this process.
     static void raise();
 };
 
--- a/src/operators/readsettings.h
+++ b/src/operators/readsettings.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Sections of process settings that several daemons share.
+/// Sections of the settings file that several daemons have in common.
 
 #pragma once
 
@@ -17,15 +17,16 @@
 
 namespace reachlead {
 
-/// Takes `ADDRESS:PORT` at \p key, then finishes the reader; the first fault, if any.
+/// Reads `ADDRESS:PORT` at \p key and finishes the reader. Returns the first error, if any.
 std::optional<std::string> readEndpoint(const IniFile &file, IniReader &reader,
                                         std::string_view section, std::string_view key,
                                         Endpoint *out);
 
-/// Reads the section `operators`.
+/// Reads the section `operators`. Returns the first error, if any.
 std::optional<std::string> readOperators(const IniFile &file, AdminServer::Options *out);
 
-/// Reads the section `log`; \p level is the index of a LogLevel.
+/// Reads the section `log`. \p level is set to the index of a LogLevel. Returns the first error, if
+/// any.
 std::optional<std::string> readLog(const IniFile &file, std::size_t *level);
 
 } // namespace reachlead
