--- a/src/upstream/enginejson.h
+++ b/src/upstream/enginejson.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The JSON between an agent and a model engine.
+/// JSON bodies of the calls of an agent to a model engine.
 
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace reachlead {
 
-/// The body for the engine: the caller's, with streaming on, and the priority, the request id and
-/// where to resume set. Empty when the caller's body is not a JSON object.
+/// The caller's request body with streaming enabled, and the priority, the request id and the
+/// position to resume from added. Empty when the caller's body is not a JSON object.
 std::optional<std::string> engineRequestBody(const Dispatch &dispatch);
 
-/// One event of an engine's stream.
+/// One event of an engine's answer.
 struct EngineEvent
 {
     enum class Kind : std::uint8_t { Text, Empty, Done, Malformed };
@@ -26,7 +26,7 @@
     std::string text;
 };
 
-/// Reads the data of one server-sent event.
+/// Parses the data of one server-sent event.
 EngineEvent parseEngineEvent(std::string_view data);
 
 } // namespace reachlead
--- a/src/upstream/sse.cpp
+++ b/src/upstream/sse.cpp
@@ -18,13 +18,13 @@
         bytes.remove_prefix(end + 1);
         if (m_line.ends_with('\r'))
             m_line.pop_back();
-        takeLine(m_line, &events);
+        processLine(m_line, &events);
         m_line.clear();
     }
     return events;
 }
 
-void SseDecoder::takeLine(std::string_view line, std::vector<std::string> *events)
+void SseDecoder::processLine(std::string_view line, std::vector<std::string> *events)
 {
     constexpr std::string_view field = "data:";
     if (line.empty()) {
@@ -35,7 +35,7 @@
         return;
     }
     if (!line.starts_with(field))
-        return; // comments and the other fields say nothing here
+        return; // comments and other fields are ignored
     line.remove_prefix(field.size());
     if (line.starts_with(' '))
         line.remove_prefix(1);
--- a/src/upstream/sse.h
+++ b/src/upstream/sse.h
@@ -13,22 +13,22 @@
 
 namespace reachlead {
 
-/// Collects bytes and gives the data of whole events. Not thread-safe.
+/// Incremental decoder. Not thread-safe.
 class SseDecoder
 {
 public:
-    /// Bytes of one event over which the stream is given up.
+    /// Larger events are an error.
     static constexpr std::size_t maxEventBytes = 1U << 20U;
 
-    /// Takes bytes; gives the data of each event they complete. Empty when an event is too
-    /// large; the decoder is of no use from then on.
+    /// Decodes more bytes and returns the data of each event that they complete. Empty when an
+    /// event is too large; the decoder must not be used any more then.
     std::optional<std::vector<std::string>> feed(std::string_view bytes);
 
 private:
-    void takeLine(std::string_view line, std::vector<std::string> *events);
+    void processLine(std::string_view line, std::vector<std::string> *events);
 
-    std::string m_line; ///< the line that has no end yet
-    std::string m_data; ///< data lines of the event that has no end yet
+    std::string m_line; ///< incomplete line
+    std::string m_data; ///< data of the incomplete event
     bool m_hasData = false;
 };
 
--- a/src/upstream/sse_test.cpp
+++ b/src/upstream/sse_test.cpp
@@ -12,53 +12,53 @@
 class SseTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SseTest);
-    CPPUNIT_TEST(piecesMakeTheSameEvents);
-    CPPUNIT_TEST(anyBytesAreTaken);
-    CPPUNIT_TEST(endlessEventIsGivenUp);
-    CPPUNIT_TEST(engineEventsAreRead);
-    CPPUNIT_TEST(engineBodySaysWhereToResume);
+    CPPUNIT_TEST(splitInputGivesSameEvents);
+    CPPUNIT_TEST(decodesArbitraryBytes);
+    CPPUNIT_TEST(tooLargeEventIsAnError);
+    CPPUNIT_TEST(parsesEngineEvents);
+    CPPUNIT_TEST(requestBodyHasResumePosition);
     CPPUNIT_TEST_SUITE_END();
 
-    void piecesMakeTheSameEvents()
+    void splitInputGivesSameEvents()
     {
         const std::string stream = ": note\r\ndata: one\r\n\r\ndata:two\ndata: more\n\nid: 1\n\n";
-        const bool good = rc::check("cut anywhere", [&] {
+        const bool passed = rc::check("split anywhere", [&] {
             SseDecoder decoder;
             std::vector<std::string> events;
             std::string_view left = stream;
             while (!left.empty()) {
                 const auto n = *rc::gen::inRange<std::size_t>(1, left.size() + 1);
-                const auto got = decoder.feed(left.substr(0, n));
-                RC_ASSERT(got.has_value());
-                events.insert(events.end(), got->begin(), got->end());
+                const auto decoded = decoder.feed(left.substr(0, n));
+                RC_ASSERT(decoded.has_value());
+                events.insert(events.end(), decoded->begin(), decoded->end());
                 left.remove_prefix(n);
             }
             RC_ASSERT(events == (std::vector<std::string>{"one", "two\nmore"}));
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void anyBytesAreTaken()
+    void decodesArbitraryBytes()
     {
-        const bool good = rc::check("any bytes", [](const std::string &bytes) {
+        const bool passed = rc::check("any bytes", [](const std::string &bytes) {
             SseDecoder decoder;
             (void)decoder.feed(bytes);
             (void)parseEngineEvent(bytes);
         });
-        CPPUNIT_ASSERT(good);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void endlessEventIsGivenUp()
+    void tooLargeEventIsAnError()
     {
         SseDecoder decoder;
         const std::string line = "data: " + std::string(1U << 16U, 'x') + "\n";
-        bool taken = true;
-        for (unsigned n = 0; n < 20 && taken; ++n)
-            taken = decoder.feed(line).has_value();
-        CPPUNIT_ASSERT(!taken);
+        bool accepted = true;
+        for (unsigned n = 0; n < 20 && accepted; ++n)
+            accepted = decoder.feed(line).has_value();
+        CPPUNIT_ASSERT(!accepted);
     }
 
-    void engineEventsAreRead()
+    void parsesEngineEvents()
     {
         using Kind = EngineEvent::Kind;
         const auto chat = parseEngineEvent(R"({"choices":[{"delta":{"content":"hi"}}]})");
@@ -72,7 +72,7 @@
         CPPUNIT_ASSERT(parseEngineEvent("{").kind == Kind::Malformed);
     }
 
-    void engineBodySaysWhereToResume()
+    void requestBodyHasResumePosition()
     {
         Dispatch dispatch;
         dispatch.tier = 3;
--- a/src/upstream/ssecall.cpp
+++ b/src/upstream/ssecall.cpp
@@ -16,21 +16,21 @@
 
 namespace {
 
-constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
+constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
 } // namespace
 
-SseCall::SseCall(const asio::any_io_executor &executor, Endpoint to, Timeouts limits)
-    : m_stream(executor), m_to(std::move(to)), m_limits(limits)
+SseCall::SseCall(const asio::any_io_executor &executor, Endpoint to, Timeouts timeouts)
+    : m_stream(executor), m_endpoint(std::move(to)), m_timeouts(timeouts)
 {
     m_parser.body_limit(boost::none);
 }
 
 asio::awaitable<std::string> SseCall::connect()
 {
-    m_stream.expires_after(m_limits.connect);
-    const tcp::endpoint to(asio::ip::make_address(m_to.address), m_to.port);
-    const auto [ec] = co_await m_stream.async_connect(to, quietly);
+    m_stream.expires_after(m_timeouts.connect);
+    const tcp::endpoint to(asio::ip::make_address(m_endpoint.address), m_endpoint.port);
+    const auto [ec] = co_await m_stream.async_connect(to, asTuple);
     if (ec)
         co_return ec.message();
     beast::error_code ignored;
@@ -38,20 +38,21 @@
     co_return std::string();
 }
 
-asio::awaitable<std::string> SseCall::send(HttpRequest ask)
+asio::awaitable<std::string> SseCall::send(HttpRequest httpRequest)
 {
-    http::request<http::string_body> request(http::string_to_verb(ask.method), ask.path, 11);
-    request.set(http::field::host, m_to.text());
+    http::request<http::string_body> request(http::string_to_verb(httpRequest.method),
+                                             httpRequest.path, 11);
+    request.set(http::field::host, m_endpoint.text());
     request.set(http::field::content_type, "application/json");
-    for (const Header &header : ask.headers)
+    for (const Header &header : httpRequest.headers)
         request.set(header.name, header.value);
-    request.body() = std::move(ask.body);
+    request.body() = std::move(httpRequest.body);
     request.prepare_payload();
-    m_stream.expires_after(m_limits.read);
-    const auto [writeError, n] = co_await http::async_write(m_stream, request, quietly);
+    m_stream.expires_after(m_timeouts.read);
+    const auto [writeError, n] = co_await http::async_write(m_stream, request, asTuple);
     if (writeError)
         co_return writeError.message();
-    const auto [ec, m] = co_await http::async_read_header(m_stream, m_buffer, m_parser, quietly);
+    const auto [ec, m] = co_await http::async_read_header(m_stream, m_buffer, m_parser, asTuple);
     m_stalled = ec == beast::error::timeout;
     co_return ec ? ec.message() : std::string();
 }
@@ -66,18 +67,18 @@
     while (!m_parser.is_done()) {
         m_parser.get().body().data = m_bytes.data();
         m_parser.get().body().size = m_bytes.size();
-        m_stream.expires_after(m_limits.read);
-        const auto [ec, n] = co_await http::async_read_some(m_stream, m_buffer, m_parser, quietly);
-        const std::size_t got = m_bytes.size() - m_parser.get().body().size;
-        if (got > 0)
-            co_return std::string_view(m_bytes.data(), got);
+        m_stream.expires_after(m_timeouts.read);
+        const auto [ec, n] = co_await http::async_read_some(m_stream, m_buffer, m_parser, asTuple);
+        const std::size_t received = m_bytes.size() - m_parser.get().body().size;
+        if (received > 0)
+            co_return std::string_view(m_bytes.data(), received);
         if (ec && ec != http::error::need_buffer) {
             m_stalled = ec == beast::error::timeout;
             *reason = ec.message();
             co_return std::string_view();
         }
     }
-    *reason = "the stream ended without its last event";
+    *reason = "the stream ended before its last event";
     co_return std::string_view();
 }
 
--- a/src/upstream/ssecall.h
+++ b/src/upstream/ssecall.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One HTTP call whose answer is a stream of server-sent events.
+/// HTTP call whose answer is streamed, such as server-sent events.
 
 #pragma once
 
@@ -21,47 +21,47 @@
 
 namespace reachlead {
 
-/// Connects, sends one request, and gives the body of the answer as it comes. Its limits follow
-/// real time. Used by one coroutine at a time.
+/// Connects, sends one request, and returns the body of the answer as it arrives. The timeouts are
+/// in real time, not in that of RuntimeClock. Used by one coroutine at a time.
 class SseCall
 {
 public:
     struct Timeouts
     {
         Duration connect = seconds(2);
-        Duration read = seconds(20); ///< between two reads
+        Duration read = seconds(20); ///< for the answer's header and for each read
     };
 
-    SseCall(const boost::asio::any_io_executor &executor, Endpoint to, Timeouts limits);
+    SseCall(const boost::asio::any_io_executor &executor, Endpoint to, Timeouts timeouts);
 
-    /// Connects; the reason when it failed, else empty.
+    /// Connects. Returns the reason of a failure, else an empty text.
     boost::asio::awaitable<std::string> connect();
 
-    /// Sends the request and reads the header of the answer; the reason when it failed.
+    /// Sends the request and reads the header of the answer. Returns the reason of a failure, else
+    /// an empty text.
     boost::asio::awaitable<std::string> send(HttpRequest request);
 
-    /// The HTTP status of the answer.
     unsigned status() const { return m_parser.get().result_int(); }
 
     /// The value of a header of the answer; empty when absent.
     std::string header(std::string_view name) const;
 
-    /// Some bytes of the body, good until the next call. Empty with \p reason set when there are
-    /// no more, whether the answer is whole or not.
+    /// Reads some bytes of the body, which are valid until the next call. Empty, with \p reason
+    /// set, at the end of the body and on a failure.
     boost::asio::awaitable<std::string_view> readSome(std::string *reason);
 
-    /// True when the body ended as HTTP says it should.
+    /// True when the body was received to its end, as defined by HTTP.
     bool isComplete() const { return m_parser.is_done(); }
 
-    /// True when the last read ended by silence.
+    /// True when the last read timed out.
     bool timedOut() const { return m_stalled; }
 
 private:
     static constexpr std::size_t readSize = 16U << 10U;
 
     boost::beast::tcp_stream m_stream;
-    Endpoint m_to;
-    Timeouts m_limits;
+    Endpoint m_endpoint;
+    Timeouts m_timeouts;
     boost::beast::flat_buffer m_buffer;
     boost::beast::http::response_parser<boost::beast::http::buffer_body> m_parser;
     std::array<char, readSize> m_bytes{};
--- a/src/upstream/upstreamclient.cpp
+++ b/src/upstream/upstreamclient.cpp
@@ -29,16 +29,16 @@
 
 namespace {
 
-constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
+constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-/// How long a lost call's failure is held up to find out whether the upstream still listens. An
-/// agent stands beside its upstream, so that a connection is accepted or refused in far less.
-constexpr Duration probeLimit = milliseconds(200);
+/// Timeout of the probe whether an upstream still listens, which delays the report of a lost call.
+/// The upstream runs on the agent's VM, so that it accepts or refuses in much less time.
+constexpr Duration probeTimeout = milliseconds(200);
 
-/// What an engine's status line says of a call that gave no stream.
-UpstreamFailure failureOf(const AttemptKey &key, unsigned status)
+/// The failure for an engine's answer with a status other than 200.
+UpstreamFailure statusFailure(const AttemptKey &key, unsigned status)
 {
-    const std::string reason = fmt::format("engine answered {}", status);
+    const std::string reason = fmt::format("engine answered with status {}", status);
     if (status == 429 || status == 503)
         return {key, ErrorKind::UpstreamRefused, Outcome::NotRun, reason};
     if (status >= 400 && status < 500)
@@ -50,7 +50,7 @@
 
 UpstreamClient::UpstreamClient(Options options, std::function<void()> wake)
     : m_options(std::move(options)), m_work(m_io.get_executor()),
-      m_commands(m_options.ringSize, [this] { asio::post(m_io, [this] { takeCommands(); }); }),
+      m_commands(m_options.ringSize, [this] { asio::post(m_io, [this] { handleCommands(); }); }),
       m_events(m_options.ringSize, std::move(wake)), m_thread([this] { m_io.run(); })
 { }
 
@@ -70,8 +70,8 @@
 
 void UpstreamClient::start(const StartUpstreamCall &call)
 {
-    // Each attempt brings at most a start and a cancel, and the gate's window bounds the attempts,
-    // so this ring is never full.
+    // Each attempt has at most one start and one cancel, and the agent's admission window limits
+    // the number of attempts, so this ring is never full.
     if (!m_commands.push(call))
         LogLine(LogLevel::Error, "ring-full").with("ring", "upstream-commands");
 }
@@ -82,7 +82,7 @@
         LogLine(LogLevel::Error, "ring-full").with("ring", "upstream-commands");
 }
 
-void UpstreamClient::takeCommands()
+void UpstreamClient::handleCommands()
 {
     for (const Command &command : m_commands.drain()) {
         if (const auto *call = std::get_if<StartUpstreamCall>(&command)) {
@@ -100,27 +100,27 @@
     auto &signal = m_running[call.key];
     signal = std::make_unique<asio::cancellation_signal>();
     const AttemptKey key = call.key;
-    auto whenDone = asio::bind_cancellation_slot(
+    auto onCompleted = asio::bind_cancellation_slot(
         signal->slot(), [this, key](const std::exception_ptr &) { m_running.erase(key); });
     if (call.dispatch->stream)
-        asio::co_spawn(m_io, callEngine(call), std::move(whenDone));
+        asio::co_spawn(m_io, callEngine(call), std::move(onCompleted));
     else
-        asio::co_spawn(m_io, callService(call), std::move(whenDone));
+        asio::co_spawn(m_io, callService(call), std::move(onCompleted));
 }
 
-/// Hands an event over. A full ring makes the reader wait, which in the end holds up the engine's
-/// connection and nothing else.
+/// Queues an event. While the ring is full, it waits and so applies back-pressure to this engine's
+/// connection only.
 UpstreamClient::Awaitable UpstreamClient::emit(UpstreamEvent event)
 {
     while (!m_events.push(event)) {
-        Timer pause(m_io, milliseconds(1));
-        co_await pause.async_wait(quietly);
+        Timer timer(m_io, milliseconds(1));
+        co_await timer.async_wait(asTuple);
     }
 }
 
-/// Tells that a call which was sent is lost. A lost connection alone does not say that the process
-/// is gone: an upstream may cut a stream and serve on.
-UpstreamClient::Awaitable UpstreamClient::emitLoss(UpstreamFailure failure)
+/// Reports the loss of a call that was sent. A lost connection alone does not mean that the process
+/// exited: an upstream may close a connection and keep running.
+UpstreamClient::Awaitable UpstreamClient::emitConnectionLoss(UpstreamFailure failure)
 {
     failure.upstreamExited = co_await refusesConnections();
     co_await emit(std::move(failure));
@@ -129,10 +129,10 @@
 asio::awaitable<bool> UpstreamClient::refusesConnections()
 {
     beast::tcp_stream stream(m_io);
-    stream.expires_after(probeLimit);
+    stream.expires_after(probeTimeout);
     const asio::ip::tcp::endpoint to(asio::ip::make_address(m_options.upstream.address),
                                      m_options.upstream.port);
-    const auto [ec] = co_await stream.async_connect(to, quietly);
+    const auto [ec] = co_await stream.async_connect(to, asTuple);
     co_return ec == asio::error::connection_refused;
 }
 
@@ -141,27 +141,28 @@
     const AttemptKey key = call.key;
     const std::optional<std::string> body = engineRequestBody(*call.dispatch);
     if (!body) {
-        UpstreamFailure failure{key, ErrorKind::BadRequest, Outcome::NotRun, "body is not JSON"};
+        UpstreamFailure failure{key, ErrorKind::BadRequest, Outcome::NotRun,
+                                "body is not a JSON object"};
         co_await emit(std::move(failure));
         co_return;
     }
-    const SseCall::Timeouts limits{m_options.connectTimeout, m_options.stallTimeout};
-    SseCall stream(m_io.get_executor(), m_options.upstream, limits);
+    const SseCall::Timeouts timeouts{m_options.connectTimeout, m_options.stallTimeout};
+    SseCall stream(m_io.get_executor(), m_options.upstream, timeouts);
     std::string reason = co_await stream.connect();
     if (!reason.empty()) {
         UpstreamFailure failure{key, ErrorKind::UpstreamUnreachable, Outcome::NotRun, reason};
         co_await emit(std::move(failure));
         co_return;
     }
-    HttpRequest ask{"POST", call.dispatch->call.path, {}, *body};
-    reason = co_await stream.send(std::move(ask));
+    HttpRequest request{"POST", call.dispatch->call.path, {}, *body};
+    reason = co_await stream.send(std::move(request));
     if (!reason.empty()) {
         UpstreamFailure failure{key, ErrorKind::UpstreamLost, Outcome::Unknown, reason};
-        co_await emitLoss(std::move(failure));
+        co_await emitConnectionLoss(std::move(failure));
         co_return;
     }
     if (stream.status() != 200) {
-        UpstreamFailure failure = failureOf(key, stream.status());
+        UpstreamFailure failure = statusFailure(key, stream.status());
         failure.retryAfter = parseRetryAfter(stream.status(), stream.header("Retry-After"));
         co_await emit(std::move(failure));
         co_return;
@@ -174,7 +175,7 @@
             const ErrorKind kind =
                 stream.timedOut() ? ErrorKind::UpstreamStalled : ErrorKind::UpstreamLost;
             UpstreamFailure failure{key, kind, Outcome::Ran, reason};
-            co_await emitLoss(std::move(failure));
+            co_await emitConnectionLoss(std::move(failure));
             co_return;
         }
         for (const std::string &data : *events) {
@@ -188,7 +189,7 @@
                 co_return;
             } else if (event.kind == EngineEvent::Kind::Malformed) {
                 UpstreamFailure failure{key, ErrorKind::UpstreamLost, Outcome::Ran,
-                                        "event not understood"};
+                                        "malformed event from the engine"};
                 co_await emit(std::move(failure));
                 co_return;
             }
@@ -199,12 +200,12 @@
 UpstreamClient::Awaitable UpstreamClient::callService(StartUpstreamCall call)
 {
     const AttemptKey key = call.key;
-    const Call &from = call.dispatch->call;
-    HttpRequest ask{from.method, from.path, from.headers, from.body};
-    ask.headers.push_back({"Reachlead-Request-Id", toString(key.id)});
+    const Call &source = call.dispatch->call;
+    HttpRequest request{source.method, source.path, source.headers, source.body};
+    request.headers.push_back({"Reachlead-Request-Id", toString(key.id)});
     std::string reason;
     CallProgress progress{};
-    auto reply = co_await httpCall(m_options.upstream, std::move(ask), m_options.serviceTimeout,
+    auto reply = co_await httpCall(m_options.upstream, std::move(request), m_options.serviceTimeout,
                                    &reason, &progress);
     if (reply) {
         const auto it = std::ranges::find_if(reply->headers, [](const Header &header) {
@@ -223,7 +224,7 @@
         co_return;
     }
     UpstreamFailure failure{key, ErrorKind::UpstreamLost, Outcome::Unknown, reason};
-    co_await emitLoss(std::move(failure));
+    co_await emitConnectionLoss(std::move(failure));
 }
 
 } // namespace reachlead
--- a/src/upstream/upstreamclient.h
+++ b/src/upstream/upstreamclient.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The upstream thread of an agent: carries calls to the one engine or plain service beside it.
+/// The upstream thread of an agent: calls the engine or plain service on the same VM.
 
 #pragma once
 
@@ -25,30 +25,33 @@
 
 namespace reachlead {
 
-/// What the upstream did with an attempt.
+/// A token of a streamed answer.
 struct UpstreamToken
 {
     AttemptKey key;
     std::string text;
 };
+/// The end of a streamed answer.
 struct UpstreamDone
 {
     AttemptKey key;
 };
+/// The answer of a plain service.
 struct UpstreamAnswer
 {
     AttemptKey key;
     HttpResponse reply;
-    std::optional<Duration> retryAfter = std::nullopt; ///< for which it wants no calls
+    std::optional<Duration> retryAfter = std::nullopt; ///< backoff requested by the upstream
 };
+/// The failure of an attempt.
 struct UpstreamFailure
 {
     AttemptKey key;
     ErrorKind kind = ErrorKind::None;
     Outcome outcome = Outcome::Unknown;
     std::string reason;
-    std::optional<Duration> retryAfter = std::nullopt; ///< for which it wants no calls
-    bool upstreamExited = false; ///< its process is gone, not the connection alone
+    std::optional<Duration> retryAfter = std::nullopt; ///< backoff requested by the upstream
+    bool upstreamExited = false; ///< the process exited; not only the connection was lost
 };
 using UpstreamEvent = std::variant<UpstreamToken, UpstreamDone, UpstreamAnswer, UpstreamFailure>;
 
@@ -60,16 +63,16 @@
     {
         Endpoint upstream;
         Duration connectTimeout = seconds(2);
-        Duration stallTimeout = seconds(20); ///< silence after which a stream is given up
-        Duration serviceTimeout = seconds(60); ///< for a plain service's whole answer
+        Duration stallTimeout = seconds(20); ///< for each read of a stream
+        Duration serviceTimeout = seconds(60); ///< for the full answer of a plain service
         std::size_t ringSize = 8192;
     };
 
-    /// \p wake is called when events wait; takeEvents() then gives them.
+    /// \p wake is called when there are events for takeEvents().
     UpstreamClient(Options options, std::function<void()> wake);
     ~UpstreamClient();
 
-    /// Ends the thread; calls in progress are cut. Further commands do nothing.
+    /// Stops the thread and aborts the calls in progress. Later commands have no effect.
     void join();
     void start(const StartUpstreamCall &call);
     void cancel(const CancelUpstreamCall &call);
@@ -79,17 +82,17 @@
     using Command = std::variant<StartUpstreamCall, CancelUpstreamCall>;
     using Awaitable = boost::asio::awaitable<void>;
 
-    void takeCommands();
+    void handleCommands();
     void launch(const StartUpstreamCall &call);
     Awaitable callEngine(StartUpstreamCall call);
     Awaitable callService(StartUpstreamCall call);
     Awaitable emit(UpstreamEvent event);
-    Awaitable emitLoss(UpstreamFailure failure);
+    Awaitable emitConnectionLoss(UpstreamFailure failure);
     boost::asio::awaitable<bool> refusesConnections();
 
     Options m_options;
     std::map<AttemptKey, std::unique_ptr<boost::asio::cancellation_signal>> m_running;
-    boost::asio::io_context m_io{1}; ///< ends before the signals its calls hold slots of
+    boost::asio::io_context m_io{1}; ///< destroyed before m_running: calls use its slots
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     RingBuffer<Command> m_commands;
     RingBuffer<UpstreamEvent> m_events;
--- a/src/upstream/upstreamclient_test.cpp
+++ b/src/upstream/upstreamclient_test.cpp
@@ -15,25 +15,27 @@
 
 namespace reachlead {
 
-/// An agent's calls to an upstream that turns them away or breaks them off, over real connections.
+/// An agent's calls to an upstream that refuses them or closes the connection, over real sockets.
+/// An upstream must count as exited only when it refuses connections: a lost connection or a failed
+/// answer alone must not be taken for a crash.
 class UpstreamClientTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UpstreamClientTest);
-    CPPUNIT_TEST(refusedStreamTellsRetryAfter);
-    CPPUNIT_TEST(refusedServiceCallTellsRetryAfter);
-    CPPUNIT_TEST(otherTextsAreNoRetryAfter);
-    CPPUNIT_TEST(streamCutByALivingEngineIsNotItsEnd);
-    CPPUNIT_TEST(callCutByALivingServiceIsNotItsEnd);
-    CPPUNIT_TEST(answerOfAFailedEngineIsNotItsEnd);
-    CPPUNIT_TEST(callLostWithItsProcessIsItsEnd);
+    CPPUNIT_TEST(refusedStreamReportsRetryAfter);
+    CPPUNIT_TEST(refusedServiceCallReportsRetryAfter);
+    CPPUNIT_TEST(invalidRetryAfterIsIgnored);
+    CPPUNIT_TEST(closedStreamIsNotAnExit);
+    CPPUNIT_TEST(closedServiceCallIsNotAnExit);
+    CPPUNIT_TEST(serverErrorIsNotAnExit);
+    CPPUNIT_TEST(refusedReconnectIsAnExit);
     CPPUNIT_TEST_SUITE_END();
 
     using tcp = boost::asio::ip::tcp;
 
-    static constexpr auto patience = std::chrono::seconds(5);
+    static constexpr auto timeout = std::chrono::seconds(5);
 
-    /// What a client tells of one call to the upstream at \p port.
-    static UpstreamEvent eventOfCall(std::uint16_t port, bool stream)
+    /// The event of one call to an upstream that listens on \p port.
+    static UpstreamEvent callUpstream(std::uint16_t port, bool stream)
     {
         UpstreamClient::Options options;
         options.upstream = {"127.0.0.1", port};
@@ -45,8 +47,8 @@
         dispatch.call.body = "{}";
         client.start({AttemptKey{}, std::make_shared<const Dispatch>(dispatch)});
         std::vector<UpstreamEvent> events;
-        const auto end = std::chrono::steady_clock::now() + patience;
-        while (events.empty() && std::chrono::steady_clock::now() < end) {
+        const auto deadline = std::chrono::steady_clock::now() + timeout;
+        while (events.empty() && std::chrono::steady_clock::now() < deadline) {
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
             events = client.takeEvents();
         }
@@ -55,15 +57,15 @@
         return events.front();
     }
 
-    /// What the client tells of one call that gets \p reply.
-    static UpstreamEvent eventOf(bool stream, const HttpResponse &reply = refusal())
+    /// The event of one call that is answered with \p reply.
+    static UpstreamEvent callAnsweredWith(bool stream, const HttpResponse &reply = refusal())
     {
         boost::asio::io_context io;
         HttpServer server(
             io, {"127.0.0.1", 0},
             [&](const HttpRequest &) -> boost::asio::awaitable<HttpResponse> { co_return reply; });
-        std::thread thread([&] { io.run_for(patience); });
-        UpstreamEvent event = eventOfCall(server.port(), stream);
+        std::thread thread([&] { io.run_for(timeout); });
+        UpstreamEvent event = callUpstream(server.port(), stream);
         io.stop();
         thread.join();
         return event;
@@ -71,42 +73,42 @@
 
     static HttpResponse refusal() { return {503, {{"Retry-After", "1.5"}}, "{}"}; }
 
-    /// What the client tells of a call whose connection the upstream closes within the answer.
-    /// Where it \p ends, nothing listens at its address any more.
-    static UpstreamFailure failureOfCut(bool stream, bool ends)
+    /// The failure of a call whose connection the upstream closes during the answer. If it \p
+    /// exits, it stops listening, too.
+    static UpstreamFailure failureOfClosedConnection(bool stream, bool exits)
     {
         boost::asio::io_context io;
         tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
         const std::uint16_t port = acceptor.local_endpoint().port();
         std::thread thread([&] {
             tcp::socket socket = acceptor.accept();
-            if (ends)
+            if (exits)
                 acceptor.close();
             std::array<char, 4096> request{};
             socket.read_some(boost::asio::buffer(request));
-            const std::string begun = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nx";
-            boost::asio::write(socket, boost::asio::buffer(begun));
+            const std::string partialAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nx";
+            boost::asio::write(socket, boost::asio::buffer(partialAnswer));
         });
-        const UpstreamEvent event = eventOfCall(port, stream);
+        const UpstreamEvent event = callUpstream(port, stream);
         thread.join();
         return std::get<UpstreamFailure>(event);
     }
 
-    void refusedStreamTellsRetryAfter()
+    void refusedStreamReportsRetryAfter()
     {
-        const auto failure = std::get<UpstreamFailure>(eventOf(true));
+        const auto failure = std::get<UpstreamFailure>(callAnsweredWith(true));
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamRefused);
         CPPUNIT_ASSERT(failure.retryAfter == milliseconds(1500));
     }
 
-    void refusedServiceCallTellsRetryAfter()
+    void refusedServiceCallReportsRetryAfter()
     {
-        const auto answer = std::get<UpstreamAnswer>(eventOf(false));
+        const auto answer = std::get<UpstreamAnswer>(callAnsweredWith(false));
         CPPUNIT_ASSERT_EQUAL(503U, answer.reply.status);
         CPPUNIT_ASSERT(answer.retryAfter == milliseconds(1500));
     }
 
-    void otherTextsAreNoRetryAfter()
+    void invalidRetryAfterIsIgnored()
     {
         CPPUNIT_ASSERT(parseRetryAfter(429, "2") == seconds(2));
         CPPUNIT_ASSERT(!parseRetryAfter(200, "2"));
@@ -114,31 +116,31 @@
             CPPUNIT_ASSERT_MESSAGE(text, !parseRetryAfter(503, text));
     }
 
-    void streamCutByALivingEngineIsNotItsEnd()
+    void closedStreamIsNotAnExit()
     {
-        const UpstreamFailure failure = failureOfCut(true, false);
+        const UpstreamFailure failure = failureOfClosedConnection(true, false);
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamLost);
         CPPUNIT_ASSERT(!failure.upstreamExited);
     }
 
-    void callCutByALivingServiceIsNotItsEnd()
+    void closedServiceCallIsNotAnExit()
     {
-        const UpstreamFailure failure = failureOfCut(false, false);
+        const UpstreamFailure failure = failureOfClosedConnection(false, false);
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamLost);
         CPPUNIT_ASSERT(!failure.upstreamExited);
     }
 
-    void answerOfAFailedEngineIsNotItsEnd()
+    void serverErrorIsNotAnExit()
     {
-        const auto failure = std::get<UpstreamFailure>(eventOf(true, {500, {}, "{}"}));
+        const auto failure = std::get<UpstreamFailure>(callAnsweredWith(true, {500, {}, "{}"}));
         CPPUNIT_ASSERT(failure.kind == ErrorKind::UpstreamLost);
         CPPUNIT_ASSERT(!failure.upstreamExited);
     }
 
-    void callLostWithItsProcessIsItsEnd()
+    void refusedReconnectIsAnExit()
     {
-        CPPUNIT_ASSERT(failureOfCut(true, true).upstreamExited);
-        CPPUNIT_ASSERT(failureOfCut(false, true).upstreamExited);
+        CPPUNIT_ASSERT(failureOfClosedConnection(true, true).upstreamExited);
+        CPPUNIT_ASSERT(failureOfClosedConnection(false, true).upstreamExited);
     }
 };
 
