--- a/src/upstream/upstreamchannel.cpp
+++ b/src/upstream/upstreamchannel.cpp
@@ -56,27 +56,27 @@
     return nullptr;
 }
 
-asio::awaitable<UpstreamChannelPtr> ConnectionPool::connect(const UpstreamEntry &entry,
-                                                            Duration limit, ConnectFailure *failure)
+asio::awaitable<UpstreamChannelPtr>
+ConnectionPool::connect(const UpstreamEntry &entry, Duration timeout, ConnectFailure *failure)
 {
     auto channel = std::make_shared<UpstreamChannel>(asio::ip::tcp::socket(m_executor));
     error_code ec;
     const auto address = asio::ip::make_address(entry.address.address, ec);
     if (ec) {
-        failure->reason = fmt::format("the address {} is no IP number", entry.address.address);
+        failure->reason = fmt::format("{} is not an IP address", entry.address.address);
         co_return nullptr;
     }
     Timer timer(m_executor);
-    timer.expires_after(limit);
-    timer.async_wait([channel](const error_code &waited) {
-        if (!waited)
+    timer.expires_after(timeout);
+    timer.async_wait([channel](const error_code &timerError) {
+        if (!timerError)
             channel->close();
     });
     co_await channel->socket.async_connect({address, entry.address.port},
                                            asio::redirect_error(asio::use_awaitable, ec));
     timer.cancel();
     if (ec || !channel->socket.is_open()) {
-        failure->reason = ec ? ec.message() : "no connection in time";
+        failure->reason = ec ? ec.message() : "connecting timed out";
         failure->connectionRefused = ec == asio::error::connection_refused;
         co_return nullptr;
     }
--- a/src/upstream/upstreamchannel.h
+++ b/src/upstream/upstreamchannel.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Connections to upstreams that are called directly, kept for reuse.
+/// Pool of persistent connections to the upstreams that a gateway calls directly.
 
 #pragma once
 
@@ -20,70 +20,70 @@
 
 namespace reachlead {
 
-/// One connection to one upstream, for one call at a time.
+/// A connection to an upstream. It carries one call at a time.
 class UpstreamChannel
 {
 public:
     explicit UpstreamChannel(boost::asio::ip::tcp::socket s) : socket(std::move(s)) { }
 
     boost::asio::ip::tcp::socket socket;
-    boost::beast::flat_buffer buffer; ///< bytes read and not yet taken
+    boost::beast::flat_buffer buffer; ///< bytes read and not yet parsed
     Time idleSince{};
-    Duration idleTimeout = defaultIdleTimeout; ///< after which the upstream may close it
+    Duration idleTimeout = defaultIdleTimeout; ///< after this the upstream may close the connection
 
-    /// True when nothing arrived on the idle connection: neither its end nor bytes that belong to
-    /// no call.
+    /// True when the idle connection is open and has no unread bytes, which would belong to no
+    /// call.
     bool isClean();
 
-    /// Ends the connection; operations under way end with an error.
+    /// Closes the connection; pending operations fail.
     void close();
 
-    /// An upstream that names no limit of its own: a common default of servers is 5 s and more.
+    /// For upstreams that announce none; servers commonly default to 5 s or more.
     static constexpr Duration defaultIdleTimeout = seconds(5);
 };
 
 using UpstreamChannelPtr = std::shared_ptr<UpstreamChannel>;
 
-/// Why a connection did not open.
+/// Reason why a connection could not be opened.
 struct ConnectFailure
 {
     std::string reason;
-    bool connectionRefused = false; ///< the upstream's VM lives and its process does not
+    bool connectionRefused = false; ///< the upstream's VM is up, but its process is not
 };
 
-/// The idle connections by upstream. All calls on one thread.
+/// Idle connections by upstream. Not thread-safe.
 class ConnectionPool
 {
 public:
     explicit ConnectionPool(const boost::asio::any_io_executor &executor) : m_executor(executor) { }
 
-    /// An idle connection that may be used; null when there is none.
+    /// Removes and returns a usable idle connection; null if there is none.
     UpstreamChannelPtr takeIdle(const UpstreamId &id);
 
-    /// Opens a connection. Null with \p failure set when it is not open within \p limit.
-    boost::asio::awaitable<UpstreamChannelPtr> connect(const UpstreamEntry &entry, Duration limit,
+    /// Opens a connection. Returns null, with \p failure set, if that fails or exceeds \p timeout.
+    boost::asio::awaitable<UpstreamChannelPtr> connect(const UpstreamEntry &entry, Duration timeout,
                                                        ConnectFailure *failure);
 
-    /// Keeps a connection whose call ended well.
+    /// Returns a connection to the pool after a successful call.
     void giveBack(const UpstreamId &id, UpstreamChannelPtr channel);
 
     /// Closes the idle connections of an upstream.
     void closeIdle(const UpstreamId &id);
 
-    /// Closes idle connections that are past their limit.
+    /// Closes idle connections that have expired or are not usable any more.
     void closeExpired();
 
-    /// Idle connections kept for one upstream.
+    /// Idle connections that are kept for one upstream.
     static constexpr std::size_t maxIdle = 64;
-    /// A connection is used this long before the upstream's own limit at the latest, so that its
-    /// end does not cross a call on the way.
+    /// A connection expires this long before the upstream's idle timeout, so that the upstream does
+    /// not close it while a call is on its way.
     static constexpr Duration idleMargin = milliseconds(500);
 
 private:
     bool isUsable(UpstreamChannel &channel) const;
 
     boost::asio::any_io_executor m_executor;
-    std::map<UpstreamId, std::vector<UpstreamChannelPtr>> m_idle; ///< latest used last
+    std::map<UpstreamId, std::vector<UpstreamChannelPtr>> m_idle; ///< most recently used last
 };
 
 } // namespace reachlead
--- a/src/upstream/upstreamexchange.cpp
+++ b/src/upstream/upstreamexchange.cpp
@@ -17,15 +17,15 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t pieceSize = 16U << 10U; ///< most bytes of one piece
+constexpr std::size_t maxChunkBytes = 16U << 10U;
 
-auto keepError(error_code *ec)
+auto redirectError(error_code *ec)
 {
     return asio::redirect_error(asio::use_awaitable, *ec);
 }
 
-/// True for the errors of Beast's parser that tell of bytes out of order, not of an early end.
-bool isParseFault(const error_code &ec)
+/// True for the errors of Beast's parser that mean malformed bytes, not a truncated message.
+bool isParseError(const error_code &ec)
 {
     return ec.category() == http::make_error_code(http::error::end_of_stream).category()
         && ec != http::error::end_of_stream && ec != http::error::partial_message;
@@ -50,24 +50,24 @@
     if (!call.body.empty() || needsLength)
         request.content_length(call.body.size());
     error_code ec;
-    co_await http::async_write(m_channel->socket, request, keepError(&ec));
-    co_return !ec || fail(ec);
+    co_await http::async_write(m_channel->socket, request, redirectError(&ec));
+    co_return !ec || setError(ec);
 }
 
 asio::awaitable<bool> UpstreamExchange::readHead()
 {
     for (int stale = 0; stale <= maxStaleAnswers; ++stale) {
-        const bool good = co_await readOneHead();
-        if (!good)
+        const bool received = co_await readOneHead();
+        if (!received)
             co_return false;
         m_metadata = m_headerCodec.readAnswer(status(), head());
         const bool isOther = !m_metadata.attemptId.empty() && m_metadata.attemptId != m_attemptId;
         if (!isOther)
             co_return true;
-        m_reason = "the answer names another call";
+        m_reason = "the answer has the id of another call";
         m_corrupt = true;
-        const bool dropped = co_await dropBody();
-        if (!dropped)
+        const bool discarded = co_await discardBody();
+        if (!discarded)
             co_return false;
         m_corrupt = false;
     }
@@ -83,51 +83,51 @@
         m_parser->skip(m_isHead);
         error_code ec;
         co_await http::async_read_header(m_channel->socket, m_channel->buffer, *m_parser,
-                                         keepError(&ec));
+                                         redirectError(&ec));
         if (ec)
-            co_return fail(ec);
-    } while (status() < 200); // interim answers say nothing of the call
+            co_return setError(ec);
+    } while (status() < 200); // skip informational answers
     co_return true;
 }
 
-asio::awaitable<bool> UpstreamExchange::dropBody()
+asio::awaitable<bool> UpstreamExchange::discardBody()
 {
     while (true) {
-        const auto piece = co_await readSome();
-        if (!piece)
+        const auto chunk = co_await readSome();
+        if (!chunk)
             co_return false;
-        if (piece->empty())
+        if (chunk->empty())
             co_return m_parser->keep_alive();
     }
 }
 
 asio::awaitable<std::optional<std::string>> UpstreamExchange::readSome()
 {
-    m_piece.resize(pieceSize);
+    m_chunk.resize(maxChunkBytes);
     while (!m_parser->is_done()) {
         auto &body = m_parser->get().body();
-        body.data = m_piece.data();
-        body.size = m_piece.size();
+        body.data = m_chunk.data();
+        body.size = m_chunk.size();
         error_code ec;
         co_await http::async_read_some(m_channel->socket, m_channel->buffer, *m_parser,
-                                       keepError(&ec));
+                                       redirectError(&ec));
         if (ec == http::error::need_buffer)
             ec = {};
         if (ec) {
-            fail(ec);
+            setError(ec);
             co_return std::nullopt;
         }
-        const std::size_t n = m_piece.size() - body.size;
+        const std::size_t n = m_chunk.size() - body.size;
         if (n > 0)
-            co_return std::string(m_piece.data(), n);
+            co_return std::string(m_chunk.data(), n);
     }
     co_return std::string();
 }
 
-bool UpstreamExchange::fail(const error_code &ec)
+bool UpstreamExchange::setError(const error_code &ec)
 {
     m_reason = ec.message();
-    m_corrupt = m_corrupt || isParseFault(ec);
+    m_corrupt = m_corrupt || isParseError(ec);
     return false;
 }
 
@@ -143,10 +143,10 @@
     for (const auto &param : http::param_list(text)) {
         if (!boost::beast::iequals(param.first, "timeout"))
             continue;
-        std::uint32_t whole = 0;
+        std::uint32_t timeout = 0;
         const auto value = param.second;
-        if (std::from_chars(value.data(), value.data() + value.size(), whole).ec == std::errc())
-            return seconds(whole);
+        if (std::from_chars(value.data(), value.data() + value.size(), timeout).ec == std::errc())
+            return seconds(timeout);
     }
     return std::nullopt;
 }
--- a/src/upstream/upstreamexchange.h
+++ b/src/upstream/upstreamexchange.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One call on a connection to an upstream: the request out, the answer in as it arrives.
+/// One call on a connection to an upstream. The answer is read incrementally.
 
 #pragma once
 
@@ -20,18 +20,18 @@
 
 namespace reachlead {
 
-/// What is sent: a head and a body that outlives the exchange.
+/// The request. Its body must outlive the exchange.
 struct UpstreamCall
 {
     boost::beast::http::verb method = boost::beast::http::verb::get;
-    std::string methodName; ///< for methods that Beast has no number for
+    std::string methodName; ///< for methods that Beast does not know
     std::string target;
     Fields fields;
     std::string_view body;
-    std::string attemptId; ///< answers that name another one belong to another call
+    std::string attemptId; ///< an answer with another id belongs to another call
 };
 
-/// Runs one call. All calls on one thread; closing the channel ends any of them.
+/// Executes one call. Not thread-safe; closing the channel makes pending operations fail.
 class UpstreamExchange
 {
 public:
@@ -39,47 +39,47 @@
         : m_channel(std::move(channel)), m_headerCodec(headerCodec)
     { }
 
-    /// Sends the call. False with reason() set when the connection broke.
+    /// Sends the request. Returns false, with reason() set, when the connection failed.
     boost::asio::awaitable<bool> write(const UpstreamCall &call);
 
-    /// Reads up to the end of the answer's head. An answer that names another call is read to its
-    /// end and dropped: it is a late one of a former call. False with reason() set when the
-    /// connection broke or the bytes are no answer.
+    /// Reads the head of the answer. An answer with another attempt id is a late one to a former
+    /// call, and is discarded. Returns false, with reason() set, when the connection failed or the
+    /// answer is malformed.
     boost::asio::awaitable<bool> readHead();
 
-    /// Reads more of the body; an empty text at its end. Nothing with reason() set when the answer
-    /// broke off.
+    /// Reads some bytes of the body; an empty text at its end. Returns nothing, with reason() set,
+    /// when the answer is truncated or malformed.
     boost::asio::awaitable<std::optional<std::string>> readSome();
 
-    /// Of the answer; 0 before its head came.
+    /// HTTP status of the answer; 0 before it was received.
     unsigned status() const { return m_parser ? m_parser->get().result_int() : 0; }
     const Fields &head() const { return m_parser->get().base(); }
     const AnswerMetadata &metadata() const { return m_metadata; }
     const std::string &reason() const { return m_reason; }
 
-    /// True when bytes came that are no answer, rather than none.
+    /// True when the failure is a malformed or foreign answer, not a lost connection.
     bool isCorrupt() const { return m_corrupt; }
 
-    /// True when a byte of the answer arrived.
+    /// True when the head of the answer was received.
     bool hasHead() const { return m_parser.has_value() && m_parser->is_header_done(); }
 
-    /// True when the whole answer came and the connection can take another call.
+    /// True when the full answer was received and the connection can be used for another call.
     bool isReusable() const;
 
-    /// How long the upstream keeps the connection idle; empty when it does not say.
+    /// The idle timeout in the answer's `Keep-Alive` header, if any.
     std::optional<Duration> keepAliveTimeout() const;
 
     const UpstreamChannelPtr &channel() const { return m_channel; }
 
-    /// Late answers of former calls that are dropped before the connection is given up.
+    /// Late answers to former calls that are discarded before the call fails.
     static constexpr int maxStaleAnswers = 3;
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
     boost::asio::awaitable<bool> readOneHead();
-    boost::asio::awaitable<bool> dropBody();
-    bool fail(const boost::system::error_code &ec);
+    boost::asio::awaitable<bool> discardBody();
+    bool setError(const boost::system::error_code &ec);
 
     UpstreamChannelPtr m_channel;
     const HeaderCodec &m_headerCodec;
@@ -87,9 +87,9 @@
     AnswerMetadata m_metadata;
     std::string m_attemptId;
     std::string m_reason;
-    bool m_isHead = false; ///< the method is HEAD: no body follows
+    bool m_isHead = false; ///< the method is HEAD: the answer has no body
     bool m_corrupt = false;
-    std::vector<char> m_piece;
+    std::vector<char> m_chunk;
 };
 
 } // namespace reachlead
