--- a/src/cmake/pch.cpp
+++ b/src/cmake/pch.cpp
@@ -1,2 +1,2 @@
 // SPDX-License-Identifier: Apache-2.0
-// Owns the shared precompiled header; holds no code.
+// Source of the target that builds the shared precompiled header; contains no code.
--- a/src/cmake/targets.cmake
+++ b/src/cmake/targets.cmake
@@ -1,10 +1,10 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Helpers that every folder under src/ uses to declare its target.
+# Functions with which the folders under src/ and platform/ declare their targets.
 
 add_library(reachlead_options INTERFACE)
-# GCC 12 takes the frames of coroutines for mismatched allocations (its bug 103993 and kin).
+# GCC 12 reports false mismatched allocations for coroutine frames (GCC bug 103993 and related ones).
 option(REACHLEAD_WERROR "Make warnings errors" ON)
 target_compile_options(reachlead_options INTERFACE -Wall -Wextra -Wno-mismatched-new-delete
     $<$<BOOL:${REACHLEAD_WERROR}>:-Werror>)
@@ -16,25 +16,25 @@
 target_link_libraries(reachlead_options INTERFACE Boost::json Boost::program_options fmt::fmt
     OpenSSL::SSL OpenSSL::Crypto Threads::Threads PkgConfig::XXHASH)
 if(REACHLEAD_SANITIZE)
-    # Sanitizer builds instrument the standard headers too, where GCC 12 warns in error.
+    # Sanitizer builds also instrument the standard headers, for which GCC 12 reports false warnings.
     target_compile_options(reachlead_options INTERFACE -fsanitize=${REACHLEAD_SANITIZE}
         -fno-omit-frame-pointer -g1 -Wno-maybe-uninitialized -Wno-tsan)
     target_link_options(reachlead_options INTERFACE -fsanitize=${REACHLEAD_SANITIZE})
 endif()
 
-# The precompiled header all packages share.
+# The precompiled header shared by all packages.
 add_library(reachlead_pch OBJECT ${CMAKE_CURRENT_LIST_DIR}/pch.cpp)
 target_link_libraries(reachlead_pch PUBLIC reachlead_options)
 target_precompile_headers(reachlead_pch PRIVATE ${CMAKE_CURRENT_LIST_DIR}/pch.h)
 
-# reachlead_package(name sources...): one package of the library.
+# reachlead_package(name sources...): declares a static library.
 function(reachlead_package name)
     add_library(${name} STATIC ${ARGN})
     target_link_libraries(${name} PUBLIC reachlead_options)
     target_precompile_headers(${name} REUSE_FROM reachlead_pch)
 endfunction()
 
-# reachlead_program(name sources...): one thin program over all packages.
+# reachlead_program(name sources...): declares a program that links all packages.
 function(reachlead_program name)
     add_executable(${name} ${ARGN})
     target_link_libraries(${name} PRIVATE reachlead_caller reachlead_upstream reachlead_peer
--- a/src/reachlead-standin/answer.cpp
+++ b/src/reachlead-standin/answer.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::uint64_t leastTokens = 16;
-constexpr std::uint64_t mostTokens = 128;
+constexpr std::uint64_t minTokens = 16;
+constexpr std::uint64_t maxTokens = 128;
 
 } // namespace
 
@@ -21,14 +21,14 @@
 {
     AnswerPlan plan;
     plan.seed = XXH64(prompt.data(), prompt.size(), 0);
-    plan.tokens = leastTokens + plan.seed % (mostTokens - leastTokens + 1);
-    const auto mark = prompt.rfind('#');
-    if (mark != std::string_view::npos) {
-        std::uint64_t wanted = 0;
+    plan.tokens = minTokens + plan.seed % (maxTokens - minTokens + 1);
+    const auto lengthMark = prompt.rfind('#');
+    if (lengthMark != std::string_view::npos) {
+        std::uint64_t requested = 0;
         const char *end = prompt.data() + prompt.size();
-        const auto got = std::from_chars(prompt.data() + mark + 1, end, wanted);
-        if (got.ec == std::errc() && got.ptr == end && wanted > 0)
-            plan.tokens = wanted;
+        const auto parsed = std::from_chars(prompt.data() + lengthMark + 1, end, requested);
+        if (parsed.ec == std::errc() && parsed.ptr == end && requested > 0)
+            plan.tokens = requested;
     }
     return plan;
 }
--- a/src/reachlead-standin/answer.h
+++ b/src/reachlead-standin/answer.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The answers an engine stand-in makes: a function of the prompt alone, so that whoever knows the
-/// prompt can tell whether an answer is whole and is the caller's own.
+/// Answers of the simulated engine. They are a function of the prompt alone, so that a load
+/// generator can check that an answer is complete and belongs to its request.
 
 #pragma once
 
@@ -13,21 +13,20 @@
 
 namespace reachlead::standin {
 
-/// What the prompt decides.
+/// The properties of an answer that its prompt determines.
 struct AnswerPlan
 {
     std::uint64_t seed = 0;
     std::uint64_t tokens = 0;
 };
 
-/// The plan of a prompt: the text of its last message, or of the plain prompt. A prompt that ends
-/// with `#N` gets N tokens, any other between 16 and 128.
+/// Derives the plan from the prompt: the text of the last message, or the plain prompt. A prompt
+/// that ends with `#N` gets N tokens, any other from 16 to 128.
 AnswerPlan planAnswer(std::string_view prompt);
 
-/// The text of one token.
 std::string answerToken(const AnswerPlan &plan, std::uint64_t index);
 
-/// The whole text.
+/// The text of all tokens.
 std::string completeText(const AnswerPlan &plan);
 
 } // namespace reachlead::standin
--- a/src/reachlead-standin/enginestandin.h
+++ b/src/reachlead-standin/enginestandin.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A small stand-in for a model engine: continuous batching, priorities, cancel, resume, a prefix
-/// cache, and faults that can be switched on.
+/// A simulated model engine: continuous batching, priorities, cancellation, resumption, a prefix
+/// cache and fault injection.
 
 #pragma once
 
@@ -24,23 +24,25 @@
 
 namespace reachlead::standin {
 
-/// How fast the engine is.
+/// Simulated speed and capacity of the engine.
 struct EngineSpeed
 {
-    Duration step = milliseconds(10); ///< one token for each running request, at a batch of one
-    Duration stepPerRequest = std::chrono::microseconds(200); ///< added for each request more
-    Duration prefill = milliseconds(20); ///< before the first token, without a cached prefix
-    std::size_t batch = 64; ///< requests that run at once; the rest wait by priority
+    Duration step = milliseconds(10); ///< time for one token at a batch size of one
+    Duration stepPerRequest =
+        std::chrono::microseconds(200); ///< added for each further running request
+    Duration prefill = milliseconds(20); ///< without a cached prefix
+    std::size_t batch = 64; ///< concurrent requests; the rest are queued by priority
     std::size_t cachedPrefixes = 256;
 };
 
-/// Faults by `POST /faults`, as JSON with these names.
+/// Faults set by `POST /faults`, as JSON with these names in snake case.
 struct EngineFaults
 {
-    double slow = 1.0; ///< factor on the step
-    bool stall = false; ///< makes no tokens
+    double slow = 1.0; ///< factor applied to the step time
+    bool stall = false; ///< generates no tokens
     bool refuse = false; ///< answers 503 to new requests
-    std::uint64_t cutAfter = 0; ///< ends each stream's connection behind so many tokens; 0: never
+    std::uint64_t cutAfter =
+        0; ///< closes each stream's connection after this many tokens; 0: never
 };
 
 class EngineStandin
@@ -51,33 +53,33 @@
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
 
 private:
-    /// One request, waiting or running.
+    /// One request, queued or running.
     struct Sequence
     {
         AnswerPlan plan;
         std::string requestId;
-        std::uint64_t made = 0; ///< index of the next token
-        std::uint64_t madeHere = 0;
+        std::uint64_t nextToken = 0; ///< index of the next token
+        std::uint64_t tokensGenerated = 0;
         int priority = 0;
-        std::uint64_t arrival = 0;
-        Time readyAt{}; ///< when its prefill is over
-        std::string out; ///< bytes to be written to its connection
-        bool ended = false; ///< the answer is whole
-        bool cut = false;
-        std::unique_ptr<Timer> wake;
+        std::uint64_t arrivalNumber = 0;
+        Time readyAt{}; ///< when its prefill is complete
+        std::string out; ///< bytes still to be written to its connection
+        bool isComplete = false; ///< all tokens were generated
+        bool isAborted = false;
+        std::unique_ptr<Timer> wakeTimer;
     };
     using SequencePtr = std::shared_ptr<Sequence>;
 
-    boost::asio::awaitable<void> accept();
+    boost::asio::awaitable<void> acceptLoop();
     boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
     boost::asio::awaitable<bool> stream(boost::asio::ip::tcp::socket &socket, SequencePtr sequence);
-    boost::asio::awaitable<void> steps();
+    boost::asio::awaitable<void> stepLoop();
     void step();
     void admit(Time now);
-    SequencePtr begin(const HttpRequest &ask);
-    HttpResponse page(const HttpRequest &ask);
+    SequencePtr enqueue(const HttpRequest &request);
+    HttpResponse servePage(const HttpRequest &request);
     HttpResponse stats() const;
-    HttpResponse setFaults(const HttpRequest &ask);
+    HttpResponse setFaults(const HttpRequest &request);
 
     boost::asio::io_context &m_io;
     boost::asio::ip::tcp::acceptor m_acceptor;
@@ -85,12 +87,12 @@
     EngineFaults m_faults;
     std::list<SequencePtr> m_waiting;
     std::list<SequencePtr> m_running;
-    std::list<std::uint64_t> m_prefixes; ///< most recently used first
-    std::map<std::string, std::uint64_t> m_begun; ///< starts by request id
-    std::uint64_t m_arrivals = 0;
-    std::uint64_t m_completed = 0;
-    std::uint64_t m_cancelled = 0;
-    std::uint64_t m_tokens = 0;
+    std::list<std::uint64_t> m_cachedPrefixes; ///< most recently used first
+    std::map<std::string, std::uint64_t> m_startsByRequest; ///< number of starts, by request id
+    std::uint64_t m_arrivalCount = 0;
+    std::uint64_t m_completedCount = 0;
+    std::uint64_t m_cancelledCount = 0;
+    std::uint64_t m_tokenCount = 0;
 };
 
 } // namespace reachlead::standin
--- a/src/reachlead-standin/main.cpp
+++ b/src/reachlead-standin/main.cpp
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Stand-ins for tests, the demo and the bench: `reachlead-standin platform|engine|service`.
+/// Simulated components for tests, the demo and the benchmark:
+/// `reachlead-standin platform|engine|service`.
 
 #include <iostream>
 
@@ -24,7 +25,7 @@
 using namespace reachlead;
 using namespace reachlead::standin;
 
-Duration durationOf(const po::variables_map &given, const char *name)
+Duration durationOption(const po::variables_map &given, const char *name)
 {
     const auto parsed = parseDuration(given[name].as<std::string>());
     if (!parsed)
@@ -32,7 +33,7 @@
     return *parsed;
 }
 
-void announce(std::uint16_t port)
+void printPort(std::uint16_t port)
 {
     fmt::print("listening={}\n", port);
     std::fflush(stdout);
@@ -41,39 +42,41 @@
 void runPlatform(asio::io_context &io, const Endpoint &listen)
 {
     PlatformStandin platform(io);
-    HttpServer server(io, listen, [&](HttpRequest ask) { return platform.serve(std::move(ask)); });
-    announce(server.port());
+    HttpServer server(io, listen,
+                      [&](HttpRequest request) { return platform.serve(std::move(request)); });
+    printPort(server.port());
     io.run();
 }
 
 void runService(asio::io_context &io, const Endpoint &listen, const std::string &name)
 {
     ServiceStandin service(io, name);
-    HttpServer server(io, listen, [&](HttpRequest ask) { return service.serve(std::move(ask)); });
-    announce(server.port());
+    HttpServer server(io, listen,
+                      [&](HttpRequest request) { return service.serve(std::move(request)); });
+    printPort(server.port());
     io.run();
 }
 
 void runEngine(asio::io_context &io, const Endpoint &listen, const EngineSpeed &speed)
 {
     EngineStandin engine(io, listen, speed);
-    announce(engine.port());
+    printPort(engine.port());
     io.run();
 }
 
-po::options_description describe()
+po::options_description describeOptions()
 {
     po::options_description options(
-        "reachlead-standin platform|engine|service: small stand-ins\n\nOptions");
+        "reachlead-standin platform|engine|service: simulated components\n\nOptions");
     options.add_options()("help,h", "show this text")("version", "show the version")(
         "kind", po::value<std::string>(), "platform, engine or service")(
         "listen", po::value<std::string>()->default_value("127.0.0.1:0"), "IP-NUMBER:PORT")(
-        "name", po::value<std::string>()->default_value("service"), "a service's name")(
-        "step", po::value<std::string>()->default_value("10ms"), "an engine's time for a token")(
+        "name", po::value<std::string>()->default_value("service"), "name of a service")(
+        "step", po::value<std::string>()->default_value("10ms"), "time of an engine for one token")(
         "step-per-request", po::value<std::string>()->default_value("200us"),
-        "added for each request more in the batch")(
-        "prefill", po::value<std::string>()->default_value("20ms"), "before the first token")(
-        "batch", po::value<std::size_t>()->default_value(64), "requests that run at once");
+        "added for each further request in the batch")(
+        "prefill", po::value<std::string>()->default_value("20ms"), "time before the first token")(
+        "batch", po::value<std::size_t>()->default_value(64), "number of concurrent requests");
     return options;
 }
 
@@ -92,9 +95,9 @@
         runService(io, *listen, given["name"].as<std::string>());
     } else if (kind == "engine") {
         EngineSpeed speed;
-        speed.step = durationOf(given, "step");
-        speed.stepPerRequest = durationOf(given, "step-per-request");
-        speed.prefill = durationOf(given, "prefill");
+        speed.step = durationOption(given, "step");
+        speed.stepPerRequest = durationOption(given, "step-per-request");
+        speed.prefill = durationOption(given, "prefill");
         speed.batch = given["batch"].as<std::size_t>();
         runEngine(io, *listen, speed);
     } else {
@@ -107,7 +110,7 @@
 
 int main(int argc, char **argv)
 {
-    const po::options_description options = describe();
+    const po::options_description options = describeOptions();
     po::positional_options_description places;
     places.add("kind", 1);
     try {
--- a/src/reachlead-standin/platformstandin.cpp
+++ b/src/reachlead-standin/platformstandin.cpp
@@ -22,9 +22,9 @@
 
 namespace {
 
-constexpr milliseconds watchPoll{10};
+constexpr milliseconds watchPollInterval{10};
 
-std::uint64_t number(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -38,16 +38,16 @@
 
 } // namespace
 
-asio::awaitable<HttpResponse> PlatformStandin::serve(HttpRequest ask)
+asio::awaitable<HttpResponse> PlatformStandin::serve(HttpRequest request)
 {
-    const std::string path(ask.pathOnly());
-    ++m_calls[fmt::format("{} {}", ask.method, path)];
+    const std::string path(request.pathOnly());
+    ++m_calls[fmt::format("{} {}", request.method, path)];
     if (path == "/faults")
-        co_return setFaults(ask);
+        co_return setFaults(request);
     if (path == "/counts")
         co_return counts();
-    if (path == "/members" && ask.method == "PUT")
-        co_return setMembers(ask);
+    if (path == "/members" && request.method == "PUT")
+        co_return setMembers(request);
     if (m_faults.slowMillis > 0)
         co_await sleepFor(m_io, milliseconds(m_faults.slowMillis));
     if (m_faults.down)
@@ -55,17 +55,17 @@
     if (path == "/members")
         co_return reply(200, membersToJson(m_members));
     if (path == "/watch") {
-        HttpResponse answer = co_await watch(std::move(ask));
+        HttpResponse answer = co_await watch(std::move(request));
         co_return answer;
     }
     if (path != "/objects")
         co_return reply(404, "{}");
-    if (ask.method == "GET")
-        co_return read(ask);
-    HttpResponse answer = write(ask);
+    if (request.method == "GET")
+        co_return read(request);
+    HttpResponse answer = write(request);
     if (m_faults.loseReplies > 0) {
         --m_faults.loseReplies;
-        answer = reply(500, ""); // the client learns nothing of what took effect
+        answer = reply(500, ""); // does not tell the client whether the write took effect
     }
     co_return answer;
 }
@@ -73,7 +73,7 @@
 std::map<std::string, PlatformObject> PlatformStandin::stateAt(std::uint64_t version) const
 {
     std::map<std::string, PlatformObject> state;
-    for (const PlatformObject &change : m_log) {
+    for (const PlatformObject &change : m_changes) {
         if (static_cast<std::uint64_t>(change.version) > version)
             break;
         state[change.key] = change;
@@ -81,43 +81,45 @@
     return state;
 }
 
-HttpResponse PlatformStandin::read(const HttpRequest &ask) const
+HttpResponse PlatformStandin::read(const HttpRequest &request) const
 {
     const std::uint64_t version = m_version - std::min(m_version, m_faults.staleReads);
     const auto state = m_faults.staleReads > 0 ? stateAt(version) : m_objects;
-    const std::string key = ask.queryParameter("key");
-    std::vector<PlatformObject> found;
+    const std::string key = request.queryParameter("key");
+    std::vector<PlatformObject> matches;
     if (!key.empty()) {
         const auto it = state.find(key);
         if (it == state.end() || it->second.deleted)
             return reply(404, objectsToJson(ObjectVersion{version}, {}));
         return reply(200, objectsToJson(it->second.version, {it->second}));
     }
-    const std::string prefix = ask.queryParameter("prefix");
+    const std::string prefix = request.queryParameter("prefix");
     for (const auto &[name, object] : state) {
         if (name.starts_with(prefix) && !object.deleted)
-            found.push_back(object);
+            matches.push_back(object);
     }
-    return reply(200, objectsToJson(ObjectVersion{version}, found));
+    return reply(200, objectsToJson(ObjectVersion{version}, matches));
 }
 
-HttpResponse PlatformStandin::write(const HttpRequest &ask)
+HttpResponse PlatformStandin::write(const HttpRequest &request)
 {
-    const std::string key = ask.queryParameter("key");
-    const std::uint64_t expected = number(ask.queryParameter("expected"));
+    const std::string key = request.queryParameter("key");
+    const std::uint64_t expected = parseNumber(request.queryParameter("expected"));
     const auto it = m_objects.find(key);
     const bool exists = it != m_objects.end() && !it->second.deleted;
-    const std::uint64_t present = exists ? static_cast<std::uint64_t>(it->second.version) : 0;
-    if (key.empty() || expected != present) {
+    const std::uint64_t currentVersion =
+        exists ? static_cast<std::uint64_t>(it->second.version) : 0;
+    if (key.empty() || expected != currentVersion) {
         std::vector<PlatformObject> now;
         if (exists)
             now.push_back(it->second);
-        return reply(409, objectsToJson(ObjectVersion{present}, now));
+        return reply(409, objectsToJson(ObjectVersion{currentVersion}, now));
     }
-    const bool deletes = ask.method == "DELETE";
-    const PlatformObject object{key, ObjectVersion{++m_version}, deletes ? "" : ask.body, deletes};
+    const bool deletes = request.method == "DELETE";
+    const PlatformObject object{key, ObjectVersion{++m_version}, deletes ? "" : request.body,
+                                deletes};
     m_objects[key] = object;
-    m_log.push_back(object);
+    m_changes.push_back(object);
     return reply(200, objectsToJson(object.version, {object}));
 }
 
@@ -125,54 +127,55 @@
                                                           std::uint64_t from) const
 {
     std::vector<PlatformObject> changes;
-    const auto begin = std::ranges::upper_bound(m_log, from, {}, [](const PlatformObject &o) {
+    const auto begin = std::ranges::upper_bound(m_changes, from, {}, [](const PlatformObject &o) {
         return static_cast<std::uint64_t>(o.version);
     });
-    std::copy_if(begin, m_log.end(), std::back_inserter(changes),
+    std::copy_if(begin, m_changes.end(), std::back_inserter(changes),
                  [&](const PlatformObject &o) { return o.key.starts_with(prefix); });
     return changes;
 }
 
-asio::awaitable<HttpResponse> PlatformStandin::watch(HttpRequest ask)
+asio::awaitable<HttpResponse> PlatformStandin::watch(HttpRequest request)
 {
-    const std::string prefix = ask.queryParameter("prefix");
-    const std::uint64_t from = number(ask.queryParameter("from"));
-    const Time until = RuntimeClock::now() + milliseconds(number(ask.queryParameter("wait_ms")));
-    ++m_waitingWatches;
-    m_mostWaiting = std::max(m_mostWaiting, m_waitingWatches);
+    const std::string prefix = request.queryParameter("prefix");
+    const std::uint64_t from = parseNumber(request.queryParameter("from"));
+    const Time deadline =
+        RuntimeClock::now() + milliseconds(parseNumber(request.queryParameter("wait_ms")));
+    ++m_pendingWatches;
+    m_maxPendingWatches = std::max(m_maxPendingWatches, m_pendingWatches);
     std::vector<PlatformObject> changes = changesAfter(prefix, from);
-    while (changes.empty() && RuntimeClock::now() < until && !m_faults.down) {
-        co_await sleepFor(m_io, watchPoll);
+    while (changes.empty() && RuntimeClock::now() < deadline && !m_faults.down) {
+        co_await sleepFor(m_io, watchPollInterval);
         changes = changesAfter(prefix, from);
     }
-    --m_waitingWatches;
+    --m_pendingWatches;
     if (m_faults.down)
         co_return reply(503, "{}");
     co_return reply(200, objectsToJson(ObjectVersion{m_version}, changes));
 }
 
-HttpResponse PlatformStandin::setFaults(const HttpRequest &ask)
+HttpResponse PlatformStandin::setFaults(const HttpRequest &request)
 {
     json::error_code ec;
-    const json::value root = json::parse(ask.body, ec);
+    const json::value root = json::parse(request.body, ec);
     if (ec || !root.is_object())
         return reply(400, "{}");
     const json::object &object = root.get_object();
-    const auto take = [&](const char *name, std::uint64_t *out) {
+    const auto assign = [&](const char *name, std::uint64_t *out) {
         if (const json::value *value = object.if_contains(name))
             *out = value->to_number<std::uint64_t>();
     };
     if (const json::value *down = object.if_contains("down"))
         m_faults.down = down->as_bool();
-    take("lose_replies", &m_faults.loseReplies);
-    take("stale_reads", &m_faults.staleReads);
-    take("slow_ms", &m_faults.slowMillis);
+    assign("lose_replies", &m_faults.loseReplies);
+    assign("stale_reads", &m_faults.staleReads);
+    assign("slow_ms", &m_faults.slowMillis);
     return reply(200, "{}");
 }
 
-HttpResponse PlatformStandin::setMembers(const HttpRequest &ask)
+HttpResponse PlatformStandin::setMembers(const HttpRequest &request)
 {
-    auto members = membersFromJson(ask.body);
+    auto members = membersFromJson(request.body);
     if (!members)
         return reply(400, "{}");
     m_members = std::move(*members);
@@ -187,8 +190,8 @@
     return reply(200,
                  json::serialize(json::object{{"calls", calls},
                                               {"version", m_version},
-                                              {"waiting_watches", m_waitingWatches},
-                                              {"most_waiting_watches", m_mostWaiting}}));
+                                              {"waiting_watches", m_pendingWatches},
+                                              {"most_waiting_watches", m_maxPendingWatches}}));
 }
 
 } // namespace reachlead::standin
--- a/src/reachlead-standin/servicestandin.cpp
+++ b/src/reachlead-standin/servicestandin.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-json::object counted(const std::map<std::string, std::uint64_t> &counts)
+json::object toJson(const std::map<std::string, std::uint64_t> &counts)
 {
     json::object object;
     for (const auto &[name, n] : counts)
@@ -29,17 +29,17 @@
 
 } // namespace
 
-asio::awaitable<HttpResponse> ServiceStandin::serve(HttpRequest ask)
+asio::awaitable<HttpResponse> ServiceStandin::serve(HttpRequest request)
 {
-    if (ask.pathOnly() == "/runs") {
+    if (request.pathOnly() == "/runs") {
         co_return reply(200,
-                        json::serialize(json::object{{"total", m_total},
-                                                     {"by_request", counted(m_runs)},
-                                                     {"by_key", counted(m_byKey)}}));
+                        json::serialize(json::object{{"total", m_runCount},
+                                                     {"by_request", toJson(m_runsByRequest)},
+                                                     {"by_key", toJson(m_runsByKey)}}));
     }
-    if (ask.pathOnly() == "/faults") {
+    if (request.pathOnly() == "/faults") {
         json::error_code ec;
-        const json::value root = json::parse(ask.body, ec);
+        const json::value root = json::parse(request.body, ec);
         if (ec || !root.is_object())
             co_return reply(400, "{}");
         if (const json::value *slow = root.get_object().if_contains("slow_ms"))
@@ -50,21 +50,22 @@
     }
     if (m_refuse)
         co_return reply(503, "{}");
-    ++m_total;
-    const std::uint64_t run = ++m_runs[std::string(ask.header("Reachlead-Request-Id"))];
-    const std::string key(ask.header("Idempotency-Key"));
+    ++m_runCount;
+    const std::uint64_t run =
+        ++m_runsByRequest[std::string(request.header("Reachlead-Request-Id"))];
+    const std::string key(request.header("Idempotency-Key"));
     if (!key.empty())
-        ++m_byKey[key];
-    const std::uint64_t total = m_total;
+        ++m_runsByKey[key];
+    const std::uint64_t total = m_runCount;
     if (m_slowMillis > 0) {
         Timer timer(m_io, milliseconds(m_slowMillis));
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     co_return reply(200,
                     json::serialize(json::object{{"service", m_name},
-                                                 {"method", ask.method},
-                                                 {"path", ask.path},
-                                                 {"body", ask.body},
+                                                 {"method", request.method},
+                                                 {"path", request.path},
+                                                 {"body", request.body},
                                                  {"run", run},
                                                  {"total", total}}));
 }
