--- a/src/build-scripts/fleet.bash
+++ b/src/build-scripts/fleet.bash
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 #
 # Starts and stops small fleets of real processes on loopback. Sourced by the demo, the
-# whole-program tests and the benches; needs BIN (the folder of the programs).
+# whole-program tests and the benchmark; requires BIN, the folder of the programs.
 #
-# Every port comes from the kernel; every process is ended by its own id.
+# All ports are ephemeral; each process is killed by its own id.
 
 set -euo pipefail
 
@@ -18,8 +18,8 @@
     exit 1
 }
 
-# end_fleet: ends what is left, by id, and removes the folder.
-end_fleet() {
+# stop_fleet: kills the remaining processes by id and removes the folder.
+stop_fleet() {
     local it
     for it in "${FLEET_PIDS[@]}"; do
         kill -CONT "$it" 2>/dev/null || true
@@ -28,13 +28,13 @@
     wait 2>/dev/null || true
     rm -rf "$FLEET_DIR"
 }
-trap end_fleet EXIT
+trap stop_fleet EXIT
 
-# launch NAME PROGRAM ARGS...: starts a process; its first line of output names its ports.
+# launch NAME PROGRAM ARGS...: starts a process and waits for the line that lists its ports.
 launch() {
     local name=$1 n
     shift
-    : >"$FLEET_DIR/$name.out" # what an earlier life of that name wrote is not to be taken for this one's
+    : >"$FLEET_DIR/$name.out" # output of an earlier process of that name must not be read as this one's
     "$@" >"$FLEET_DIR/$name.out" 2>"$FLEET_DIR/$name.log" &
     PID[$name]=$!
     FLEET_PIDS+=("$!")
@@ -47,18 +47,18 @@
     fail "$name did not start"
 }
 
-# port_of NAME KEY: a port that the process printed.
-port_of() {
+# printed_port NAME KEY: prints a port that the process listed.
+printed_port() {
     grep -E '^(listening|callers|sessions)=' "$FLEET_DIR/$1.out" | sed -n "s/.*\b$2=\([0-9]*\).*/\1/p" | head -1
 }
 
 start_platform() {
     launch platform "$BIN/reachlead-standin" platform
-    PORT[platform]=$(port_of platform listening)
+    PORT[platform]=$(printed_port platform listening)
     PLATFORM=http://127.0.0.1:${PORT[platform]}
 }
 
-# put_settings PATH FILE: writes one node of the tree, new or changed.
+# put_settings PATH FILE: creates or updates one node of the settings tree.
 put_settings() {
     local version
     version=$(curl -s "$PLATFORM/objects?key=settings/$1" | sed -n 's/.*"objects":\[{.*"version":\([0-9]*\),"value".*/\1/p')
@@ -66,19 +66,19 @@
         "$PLATFORM/objects?key=settings/$1&expected=${version:-0}" >/dev/null
 }
 
-# start_engine NAME MODEL ZONE [engine options...]: an engine and the agent beside it.
+# start_engine NAME MODEL ZONE [engine options...]: starts an engine and its agent.
 start_engine() {
     local name=$1 model=$2 zone=$3
     shift 3
     launch "$name-engine" "$BIN/reachlead-standin" engine "$@"
-    PORT[$name-engine]=$(port_of "$name-engine" listening)
+    PORT[$name-engine]=$(printed_port "$name-engine" listening)
     start_agent "$name" "model = $model" "$zone" "${PORT[$name-engine]}"
 }
 
-# start_service NAME SERVICE ZONE: a plain service and the agent beside it.
+# start_service NAME SERVICE ZONE: starts a plain service and its agent.
 start_service() {
     launch "$1-service" "$BIN/reachlead-standin" service --name "$2"
-    PORT[$1-service]=$(port_of "$1-service" listening)
+    PORT[$1-service]=$(printed_port "$1-service" listening)
     start_agent "$1" "service = $2" "$3" "${PORT[$1-service]}"
 }
 
@@ -105,8 +105,8 @@
     local target
     target=$(sed 's/ = /:/' <<<"$2")
     launch "$1" "$BIN/reachlead-agent" --settings "$FLEET_DIR/$1.ini"
-    PORT[$1]=$(port_of "$1" sessions)
-    PORT[$1-operators]=$(port_of "$1" operators)
+    PORT[$1]=$(printed_port "$1" sessions)
+    PORT[$1-operators]=$(printed_port "$1" operators)
     MEMBERS+=("{\"vm\":\"$1\",\"role\":\"agent\",\"zone\":\"$3\",\"address\":\"127.0.0.1\",\"port\":${PORT[$1]},\"leaving\":false,\"target\":\"$target\"}")
 }
 
@@ -131,8 +131,8 @@
 level = ${ROUTER_LOG:-info}
 INI
     launch "$1" "$BIN/reachlead-router" --settings "$FLEET_DIR/$1.ini"
-    PORT[$1]=$(port_of "$1" callers)
-    PORT[$1-operators]=$(port_of "$1" operators)
+    PORT[$1]=$(printed_port "$1" callers)
+    PORT[$1-operators]=$(printed_port "$1" operators)
     MEMBERS+=("{\"vm\":\"$1\",\"role\":\"router\",\"zone\":\"$2\",\"address\":\"127.0.0.1\",\"port\":0,\"leaving\":false}")
 }
 
@@ -141,7 +141,7 @@
     curl -sf -X PUT --data "[${MEMBERS[*]}]" "$PLATFORM/members" >/dev/null
 }
 
-# wait_until TEXT COMMAND...: tries for up to 10 s of real time.
+# wait_until TEXT COMMAND...: retries the command for up to 10 s.
 wait_until() {
     local what=$1 n
     shift
@@ -149,23 +149,24 @@
         "$@" >/dev/null 2>&1 && return 0
         sleep 0.025
     done
-    fail "waited in vain: $what"
+    fail "timed out waiting for: $what"
 }
 
-# agents_up ROUTER N: the router holds sessions to at least N agents.
+# agents_up ROUTER N: true if the router has sessions with at least N agents.
 agents_up() {
     [ "$(metric "$1" reachlead_sessions)" -ge "$2" ]
 }
 
-# metric NAME METRIC: one counter or gauge of a daemon, reasons as `refused_total{reason="x"}`.
+# metric NAME METRIC: prints a counter or gauge of a daemon; METRIC includes the labels, as in
+# `refused_total{reason="x"}`.
 metric() {
     curl -s "http://127.0.0.1:${PORT[$1-operators]}/metrics" | awk -v m="$2" '$1 == m { print $2 }'
 }
 
-# end_gracefully NAME: SIGTERM, and the process must end by itself with exit code 0.
-end_gracefully() {
+# stop_gracefully NAME: sends SIGTERM; fails unless the process exits with code 0.
+stop_gracefully() {
     kill -TERM "${PID[$1]}"
     local code=0
     wait "${PID[$1]}" || code=$?
-    [ "$code" -eq 0 ] || fail "$1 ended with code $code"
+    [ "$code" -eq 0 ] || fail "$1 exited with code $code"
 }
--- a/src/build-scripts/install-deps.bash
+++ b/src/build-scripts/install-deps.bash
@@ -2,8 +2,8 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Installs the Debian packages that the build, the tests and the checks need.
-# Does nothing when all of them are there.
+# Installs the Debian packages that the build, the tests and the checks require.
+# Does nothing if all of them are installed.
 set -euo pipefail
 
 packages=(
--- a/src/build-scripts/lint.bash
+++ b/src/build-scripts/lint.bash
@@ -2,8 +2,8 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Runs clang-tidy over every source file, in parallel; without the precompiled header, which is
-# GCC's. Give file names to look at those alone.
+# Runs clang-tidy on all source files in parallel, without the precompiled header, which only GCC can
+# read. File names as arguments limit the run to those files.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 cmake -S . -B build/lint -G Ninja -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON >/dev/null
--- a/src/build-scripts/mutants.bash
+++ b/src/build-scripts/mutants.bash
@@ -2,8 +2,9 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Takes one mechanism out at a time, in a scratch copy, and sees its test fail. The rows stand in
-# testsuite/mutants.list; give a part of a name to run those alone.
+# Mutation testing: disables one mechanism at a time in a scratch copy and checks that its test
+# fails. The mutants are listed in testsuite/mutants.list; an argument selects those whose name
+# contains it.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/../.." && pwd)
 scratch=$(mktemp -d)
--- a/src/build-scripts/soakmutants.bash
+++ b/src/build-scripts/soakmutants.bash
@@ -2,9 +2,10 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Takes one mechanism out of the gateway at a time, in a scratch copy, and sees the fault soak find the
-# rule that it carries. The rows stand in testsuite/soak/mutants.list; give a part of a name to run
-# those alone. SEEDS are played until one finds it.
+# Mutation testing of the gateway: disables one mechanism at a time in a scratch copy and checks that
+# the fault soak reports the rule that depends on it. The mutants are listed in
+# testsuite/soak/mutants.list; an argument selects those whose name contains it. The soak runs with
+# each of SEEDS, all at once; one of them must report the rule.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/../.." && pwd)
 SEEDS=${SEEDS:-1 2 3 4}
@@ -19,8 +20,8 @@
     cmake --build "$scratch/build/release" --target reachlead-gateway reachlead-soak \
         >"$scratch/build.log" 2>&1
 }
-# found RULE: plays the seeds at once; true when one of them finds the rule broken.
-found() {
+# rule_broken RULE: runs all seeds at once; true if one of them reports the rule as broken.
+rule_broken() {
     local seed
     for seed in $SEEDS; do
         "$scratch/testsuite/soak/run" "$seed" >"$scratch/soak-$seed.out" 2>&1 &
@@ -39,10 +40,10 @@
         verdict="SURVIVED $name: the edit changed nothing"
     elif ! build; then
         verdict="SURVIVED $name: does not build"
-    elif found "$rule"; then
+    elif rule_broken "$rule"; then
         verdict="killed   $name by $rule"
     else
-        verdict="SURVIVED $name: no seed found $rule broken"
+        verdict="SURVIVED $name: no seed reported $rule as broken"
     fi
     echo "$verdict"
     case "$verdict" in killed*) killed=$((killed + 1)) ;; *) survived=$((survived + 1)) ;; esac
--- a/testsuite/common.bash
+++ b/testsuite/common.bash
@@ -1,15 +1,15 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# A small fleet for whole-program tests. What a test prints must be the same on every run: no
-# ports, ids or times.
+# Functions for whole-program tests with a small fleet. The output of a test must be the same on every
+# run, so it contains no ports, ids or times.
 ADMIN_KEY=test-operator
 source "$(dirname "${BASH_SOURCE[0]}")/../src/build-scripts/fleet.bash"
 SECRET=open-sesame
 KEY="Authorization: Bearer acc:$SECRET"
 
-# basic_settings: one class of each kind, an account `acc` and an account `other`.
-basic_settings() {
+# put_basic_settings: writes a class for live calls, a class for batches, and an account `acc`.
+put_basic_settings() {
     local hash
     hash=$(printf '%s\n%s' salt "$SECRET" | sha256sum | cut -d' ' -f1)
     printf 'tier = 0\nfirst_token = 2s\ndeadline = 30s\nfloor = 0.05\n' >"$FLEET_DIR/live"
@@ -20,11 +20,11 @@
     put_settings accounts/acc "$FLEET_DIR/acc"
 }
 
-healthy() {
+is_healthy() {
     curl -sf "http://127.0.0.1:${PORT[$1]}/healthz"
 }
 
-# chat ROUTER PROMPT [curl options...]: a streamed answer.
+# chat ROUTER PROMPT [curl options...]: prints a streamed answer.
 chat() {
     local router=$1 prompt=$2
     shift 2
@@ -32,8 +32,8 @@
         -d "{\"model\":\"m\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"$prompt\"}]}"
 }
 
-# call ROUTER PATH [curl options...]: a service's call; prints the status, outcome and kind.
-call() {
+# call_service ROUTER PATH [curl options...]: calls a service; prints the status, outcome and kind.
+call_service() {
     local router=$1 path=$2
     shift 2
     curl -sS -D "$FLEET_DIR/head" -o "$FLEET_DIR/body" -X POST -H "$KEY" "$@" \
@@ -44,23 +44,23 @@
         "$FLEET_DIR/head"
 }
 
-# runs SERVICE: calls that really ran there.
-runs() {
+# run_count SERVICE: prints the number of calls that the service executed.
+run_count() {
     curl -s "http://127.0.0.1:${PORT[$1-service]}/runs" | sed 's/.*"total":\([0-9]*\).*/\1/'
 }
 
-# faults PORT-NAME JSON: switches faults of a stand-in on or off.
-faults() {
+# set_faults PORT-NAME JSON: switches faults of a simulated component on or off.
+set_faults() {
     curl -sf -X POST -d "$2" "http://127.0.0.1:${PORT[$1]}/faults" >/dev/null
 }
 
-# stat_of ENGINE FIELD
-stat_of() {
+# engine_stat ENGINE FIELD: prints one of the engine's counters.
+engine_stat() {
     curl -s "http://127.0.0.1:${PORT[$1-engine]}/stats" | sed "s/.*\"$2\":\([0-9]*\).*/\1/"
 }
 
-# load NAME-OF-ROUTER [options...]: content-checked load; prints the counts alone.
-load() {
+# run_load ROUTER [options...]: runs a load whose answers are checked; prints only the counts.
+run_load() {
     local router=$1
     shift
     "$BIN/reachlead-load" http --target "127.0.0.1:${PORT[$router]}" --key "acc:$SECRET" "$@" \
--- a/testsuite/gateway.bash
+++ b/testsuite/gateway.bash
@@ -1,10 +1,10 @@
 # Copyright Contributors to the reachlead project.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Gateways as processes, on the platform's stand-ins, for whole-program tests.
+# Functions for whole-program tests with gateways and a simulated platform.
 source "$(dirname "${BASH_SOURCE[0]}")/common.bash"
 
-# start_gateway NAME STORE [SEED-PORT]: a gateway whose store is at port STORE.
+# start_gateway NAME STORE [SEED-PORT]: starts a gateway whose store is at port STORE.
 start_gateway() {
     local name=$1 store=$2 seed=${3:-0} n
     cat >"$FLEET_DIR/$name.ini" <<INI
@@ -25,7 +25,7 @@
 [stop]
 limit_s = 6
 INI
-    : >"$FLEET_DIR/$name.out" # what an earlier life of that name wrote is not to be taken for this one's
+    : >"$FLEET_DIR/$name.out" # output of an earlier process of that name must not be read as this one's
     "$BIN/reachlead-gateway" --settings "$FLEET_DIR/$name.ini" >"$FLEET_DIR/$name.out" &
     PID[$name]=$!
     FLEET_PIDS+=("$!")
@@ -35,40 +35,41 @@
     done
 }
 
-# start_standin NAME KIND...: a stand-in of the platform.
+# start_standin NAME KIND...: starts a simulated store or upstream.
 start_standin() {
     local name=$1
     shift
     launch "$name" "$BIN/reachlead-platform-standin" "$@"
-    PORT[$name]=$(port_of "$name" listening)
+    PORT[$name]=$(printed_port "$name" listening)
 }
 
-# write KIND NAME SPEC: an object of the store, new or changed.
-write() {
+# put_object KIND NAME SPEC: creates or updates an object in the store.
+put_object() {
     local base=http://127.0.0.1:${PORT[store]}/-/objects/$1
     curl -sf -o "$FLEET_DIR/reply" -X POST "$base" -d "{\"metadata\":{\"name\":\"$2\"},\"spec\":$3}" \
         || curl -sf -o "$FLEET_DIR/reply" -X PUT "$base/$2" -d "{\"spec\":$3}"
 }
 
-# config VERSION ROUTES: a configuration.
-config() {
-    write config main "{\"version\":$1,\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"]}],\"routes\":[$2]}"
+# put_config VERSION ROUTES: writes a configuration.
+put_config() {
+    put_object config main "{\"version\":$1,\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"]}],\"routes\":[$2]}"
 }
 
-route() {
+# route_json NAME KIND: prints a route for put_config.
+route_json() {
     echo "{\"name\":\"$1\",\"host\":\"h\",\"pathPrefix\":\"/$1/\",\"routeType\":\"$2\",\"service\":\"s\",\"maxAttempts\":2,\"timeoutMs\":20000}"
 }
 
-# ask GATEWAY PATH [curl options...]: the status, then the body.
-ask() {
+# send_request GATEWAY PATH [curl options...]: prints the body, then the status.
+send_request() {
     local gateway=$1 path=$2
     shift 2
     curl -sS -N -w '%{http_code}\n' -H 'Host: h' -H 'Authorization: Bearer k' -H 'Attempt-Id: a' \
         -H 'Deadline-Ms: 20000' "$@" "http://127.0.0.1:${PORT[$gateway-callers]}$path"
 }
 
-ready() {
+ready_status() {
     curl -s -o "$FLEET_DIR/reply" -w '%{http_code}\n' "http://127.0.0.1:${PORT[$1-ready]}/-/ready"
 }
-is_ready() { [ "$(ready "$1")" = 200 ]; }
-serves() { [ "$(ask "$1" "$2" -o "$FLEET_DIR/body")" = 200 ]; }
+is_ready() { [ "$(ready_status "$1")" = 200 ]; }
+serves() { [ "$(send_request "$1" "$2" -o "$FLEET_DIR/body")" = 200 ]; }
