--- a/src/libreachlead/rosterpublisher_test.cpp
+++ b/src/libreachlead/rosterpublisher_test.cpp
@@ -16,9 +16,9 @@
 namespace reachlead {
 
 /// The roster as the watchers maintain it through starts, losses and network partitions.
-class RosterDutyTest : public CppUnit::TestFixture
+class RosterPublisherTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(RosterDutyTest);
+    CPPUNIT_TEST_SUITE(RosterPublisherTest);
     CPPUNIT_TEST(startingFleetIsWrittenInFewCalls);
     CPPUNIT_TEST(rosterGrowsWithAnyPartialViews);
     CPPUNIT_TEST(restartChangesNothing);
@@ -164,6 +164,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RosterDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RosterPublisherTest);
 
 } // namespace reachlead
